--- a/src/systems/BudgetTally.ts
+++ b/src/systems/BudgetTally.ts
@@ -7,11 +7,11 @@
 /** Options of {@link BudgetTally}. */
 export interface BudgetTallyOptions {
   readonly tables: PoolTables;
-  /** Monotonic time, in milliseconds: it decides which quarantines still hold. */
+  /** Monotonic time, in milliseconds; determines which quarantines are still in force. */
   readonly nowMs: number;
 }
 
-/** Running account of a pool's availability budget, cheap to ask again for each further VM. */
+/** Availability budget of a pool, updated incrementally as VMs are taken out one by one. */
 export class BudgetTally {
   private readonly availability: AvailabilitySettings;
 
@@ -24,7 +24,7 @@
   private readonly slots: DomainSlots;
 
   /**
-   * Counts the pool as it stands.
+   * Counts the VMs that accept work at present.
    * @param options - State of the pool and the time.
    */
   constructor(options: BudgetTallyOptions) {
@@ -41,18 +41,18 @@
       .forEach((vm) => this.count(vm));
   }
 
-  /** Count of VMs that give no service, for whatever reason. */
+  /** Count of VMs that are unavailable, for whatever reason. */
   get outVmCount(): number {
     return this.vmCount - this.acceptingVms.size;
   }
 
-  /** Most VMs that the declared fraction lets be out at once. */
+  /** Most VMs that may be unavailable at once, by the declared fraction. */
   get allowedOutVmCount(): number {
     return Math.floor(this.availability.maxUnavailableFraction * this.vmCount);
   }
 
   /**
-   * Tells whether a VM gives service.
+   * Tells whether a VM counts as available.
    * @param vm - Name of the VM.
    * @returns Whether it is counted as accepting.
    */
@@ -61,8 +61,8 @@
   }
 
   /**
-   * Counts a VM as out from now on.
-   * @param vmName - Name of the VM; one that is out already changes nothing.
+   * Counts a VM as unavailable.
+   * @param vmName - Name of the VM; no effect if it is unavailable already.
    */
   takeOut(vmName: string): void {
     const vm = this.acceptingVms.get(vmName);
@@ -72,7 +72,7 @@
   }
 
   /**
-   * Counts a VM as accepting again, after {@link takeOut}.
+   * Counts a VM as available, also to undo {@link takeOut}.
    * @param vm - The VM.
    */
   count(vm: PoolVmRow): void {
@@ -81,15 +81,15 @@
   }
 
   /**
-   * Judges the pool as counted so far.
-   * @returns The slots to spare, or why the budget does not hold.
+   * Checks the budget with the VMs counted so far.
+   * @returns The spare slots, or why the budget is exceeded.
    */
   verdict(): BudgetVerdict {
     const { outVmCount, allowedOutVmCount, neededSlotCount } = this;
     if (outVmCount > allowedOutVmCount) {
       return {
         type: 'exceeded',
-        reason: `${outVmCount} of ${this.vmCount} VMs would be out; ${allowedOutVmCount} may be`,
+        reason: `${outVmCount} of ${this.vmCount} VMs would be unavailable; ${allowedOutVmCount} are allowed`,
       };
     }
     const leftSlotCount = this.slots.countAfterLoss();
--- a/src/systems/DomainSlots.ts
+++ b/src/systems/DomainSlots.ts
@@ -2,7 +2,7 @@
 import type { VmRow } from '../tables/index.js';
 import { getFailureDomain } from './getFailureDomain.js';
 
-/** Slots of a set of VMs by failure domain. */
+/** Slot counts of a set of VMs by failure domain. */
 export class DomainSlots {
   private readonly failureDomain: FailureDomain;
 
@@ -11,8 +11,8 @@
   private totalSlotCount = 0;
 
   /**
-   * Starts with no VM.
-   * @param failureDomain - Kind of domain whose loss is to be survived.
+   * Creates an empty set.
+   * @param failureDomain - Kind of domain whose loss the pool has to survive.
    */
   constructor(failureDomain: FailureDomain) {
     this.failureDomain = failureDomain;
@@ -32,7 +32,7 @@
   }
 
   /**
-   * Takes a VM's slots away.
+   * Removes a VM's slots.
    * @param vm - A VM of the set.
    */
   remove(vm: VmRow): void {
@@ -49,7 +49,7 @@
   }
 
   /**
-   * Counts what remains when the largest domain is lost.
+   * Counts the slots that remain after the loss of the largest domain.
    * @returns Slots outside the domain with the most slots.
    */
   countAfterLoss(): number {
@@ -58,7 +58,7 @@
 
   /**
    * Counts the slots of the largest domain.
-   * @returns Slots that its loss costs.
+   * @returns Slots of the domain with the most slots.
    */
   largestDomainSlotCount(): number {
     return [...this.slotCounts.values()].reduce((most, count) => Math.max(most, count), 0);
--- a/src/systems/WaveProgress.ts
+++ b/src/systems/WaveProgress.ts
@@ -1,6 +1,6 @@
 import type { WaveStepRow } from '../tables/index.js';
 
-/** How far a wave has come, in one pool or in all of them. */
+/** Progress of a wave, in one pool or over all pools. */
 export interface WaveProgress {
   readonly maintainedVmCount: number;
   readonly failedVmCount: number;
@@ -15,7 +15,7 @@
 };
 
 /**
- * Counts the steps of waves by their state.
+ * Counts the steps of each wave by state.
  * @param steps - Steps of any number of waves and pools.
  * @returns Progress by wave.
  */
--- a/src/systems/canCarryAnyKind.ts
+++ b/src/systems/canCarryAnyKind.ts
@@ -2,10 +2,10 @@
 import type { VmRow } from '../tables/index.js';
 
 /**
- * Tells whether a VM is of any use to a pool.
+ * Tells whether a VM can run any of a pool's kinds of job.
  * @param settings - Settings of the pool with its kinds of job.
  * @param vm - The VM.
- * @returns Whether at least one declared kind fits on the empty VM.
+ * @returns Whether the VM has slots and, if kinds are declared, at least one fits on it empty.
  */
 export function canCarryAnyKind(settings: PoolSettings, vm: VmRow): boolean {
   const kinds = Object.values(settings.jobKinds);
--- a/src/systems/checkBudget.ts
+++ b/src/systems/checkBudget.ts
@@ -6,16 +6,16 @@
 export interface CheckBudgetOptions {
   /** Monotonic time, in milliseconds. */
   readonly nowMs: number;
-  /** VMs that a planned step would take out on top. */
+  /** VMs that a planned step would take out in addition. */
   readonly takenOutVms?: readonly string[];
 }
 
 /**
- * Tells whether a pool keeps its availability budget: few enough of its VMs are out, and what is
- * left carries the needed slots even after its largest failure domain is lost.
+ * Checks whether a pool stays within its availability budget: no more VMs are unavailable than
+ * allowed, and the needed slots remain even after the loss of its largest failure domain.
  * @param tables - State of the pool.
  * @param options - The time and the VMs that a planned step would take out.
- * @returns The slots to spare, or why the budget does not hold.
+ * @returns The spare slots, or why the budget is exceeded.
  */
 export function checkBudget(tables: PoolTables, options: CheckBudgetOptions): BudgetVerdict {
   const tally = new BudgetTally({ tables, nowMs: options.nowMs });
--- a/src/systems/chooseVm.ts
+++ b/src/systems/chooseVm.ts
@@ -4,11 +4,11 @@
 import type { PoolLoad } from './PoolLoad.js';
 import type { VmLoad } from './VmLoad.js';
 
-/** Racks whose load differs by less than this share count as equally full. */
+/** Width of the bands of rack load; racks in the same band count as equally loaded. */
 const RACK_LOAD_STEP = 0.25;
-/** Fewest starts that a VM takes within the moment that {@link VmLoad} calls recent. */
+/** Lower bound of a VM's limit on recent starts, as {@link VmLoad} counts them. */
 const MIN_RECENT_START_COUNT = 2;
-/** Share of a VM's slots that may start within that moment. */
+/** Share of a VM's slots that limits its recent starts. */
 const RECENT_START_FRACTION = 0.25;
 
 /** Options of {@link chooseVm}. */
@@ -22,9 +22,9 @@
 }
 
 /**
- * Whether a VM may start one more run at this moment. After a wave of cancellations many slots
- * come free at once; without a limit the whole queue would start on the same VMs in one instant.
- * Urgent work is too rare to stampede and does not wait.
+ * Whether a VM may start one more run now. Many cancellations free many slots at once; without
+ * a limit the whole queue would start on the same VMs at the same time. Urgent work is too rare
+ * to overload a VM in this way and does not wait.
  */
 function mayStart(load: VmLoad, request: QueuedRow): boolean {
   if (request.urgency === 'urgent') return true;
@@ -36,8 +36,8 @@
 }
 
 /**
- * Whether a VM is the better choice: fewer failures, then the emptier rack, then the tighter fit.
- * It is asked for every VM and request, so it compares in place of building ranks.
+ * Whether the first VM is the better choice: fewer failures, then the less loaded rack, then the
+ * tighter fit. Called for every VM and request, so it compares directly and builds no ranks.
  */
 function isBetter(options: ChooseVmOptions, first: VmLoad, second: VmLoad): boolean {
   if (first.failureCount !== second.failureCount) return first.failureCount < second.failureCount;
@@ -49,10 +49,11 @@
 }
 
 /**
- * Chooses the VM for a request: one that can carry its learned size, in an emptier rack so that
- * the loss of a rack costs few jobs, and there the tightest fit, which keeps room for large jobs.
+ * Chooses the VM for a request. It must fit the learned size. The least loaded rack is preferred,
+ * so that the loss of a rack affects few jobs, and then the tightest fit, which keeps room for
+ * large jobs.
  * @param options - Load of the pool, the request and its size.
- * @returns The VM's load, or undefined where nothing fits now.
+ * @returns The VM's load, or undefined if no VM fits now.
  */
 export function chooseVm(options: ChooseVmOptions): VmLoad | undefined {
   const { load, request, size, rng, reservedVms } = options;
@@ -60,7 +61,7 @@
   const start = Math.floor(rng.next() * vmLoads.length);
   let best: VmLoad | undefined;
   vmLoads.forEach((ignored, index) => {
-    // Ties go to the first VM seen, so each search starts elsewhere.
+    // Ties go to the first VM visited, so each search starts at a random VM.
     const candidate = vmLoads[(start + index) % vmLoads.length]!;
     if (!candidate.fits(size) || !mayStart(candidate, request) || !candidate.isTrusted) return;
     if (reservedVms.has(candidate.vm.vm)) return;
--- a/src/systems/decisions.ts
+++ b/src/systems/decisions.ts
@@ -1,16 +1,16 @@
 import type { ErrorKind } from '../errors/index.js';
 
-/** What the placement system decided for one queued request, or for a running one in its way. */
+/** Decision of the placement about a queued request, or about a run that has to make room. */
 export type PlacementDecision =
   | {
       readonly type: 'place';
       readonly attemptId: string;
       readonly vm: string;
-      /** Cores to set aside for the run. */
+      /** Cores to reserve for the run. */
       readonly coreCount: number;
-      /** Memory to set aside for the run: what its kind was measured to need. */
+      /** Memory to reserve for the run, in megabytes, learned from earlier runs of its kind. */
       readonly memoryMb: number;
-      /** Why this VM, for the log line and `explain`. */
+      /** Why this VM was chosen, for the log line and `explain`. */
       readonly reason: string;
     }
   | {
@@ -18,24 +18,24 @@
       readonly attemptId: string;
       readonly kind: ErrorKind;
       readonly reason: string;
-      /** How long from now the caller should stay away, in milliseconds. */
+      /** How long the caller should wait before it retries, in milliseconds. */
       readonly retryAfterMs: number;
     }
   | {
-      /** Makes room for urgent work. */
+      /** Checkpoints or throttles a run to make room for urgent work. */
       readonly type: 'preempt';
       readonly grantId: string;
       readonly action: 'checkpoint' | 'throttle';
       readonly reason: string;
     }
   | {
-      /** Gives a throttled run its processors back. */
+      /** Lets a throttled run use its full processor share again. */
       readonly type: 'unthrottle';
       readonly grantId: string;
       readonly reason: string;
     };
 
-/** What the learning system concluded from a finished attempt. */
+/** Conclusion from a finished attempt about its VM or its request. */
 export type RunVerdict =
   | {
       readonly type: 'quarantine';
@@ -46,13 +46,13 @@
     }
   | { readonly type: 'restore'; readonly vm: string; readonly reason: string }
   | {
-      /** The request fails wherever it goes: no further attempt. */
+      /** The request fails on every VM and gets no further attempt. */
       readonly type: 'blame-job';
       readonly requestId: string;
       readonly reason: string;
     };
 
-/** What the wave system decided for a pool. */
+/** Decision about a wave in a pool. */
 export type WaveDecision =
   | {
       readonly type: 'start-step';
@@ -63,7 +63,7 @@
   | { readonly type: 'wait'; readonly wave: string; readonly reason: string }
   | { readonly type: 'stop-wave'; readonly wave: string; readonly reason: string };
 
-/** What the capacity system decided for a pool. */
+/** Decision about the VMs that belong to a pool. */
 export type CapacityDecision =
   | { readonly type: 'adopt'; readonly vm: string; readonly reason: string }
   | { readonly type: 'release'; readonly vm: string; readonly reason: string };
--- a/src/systems/estimateStartByMs.ts
+++ b/src/systems/estimateStartByMs.ts
@@ -2,9 +2,9 @@
 import type { RunTimes } from './RunTimes.js';
 
 /**
- * Estimates by when the rest of a job has to start so that the job meets its objective.
+ * Estimates the latest time at which the rest of a job can start and still meet the objective.
  * @param row - The job.
- * @param runTimes - What has been learned of run times.
+ * @param runTimes - Learned run times.
  * @returns Wall-clock time in milliseconds since the Unix epoch.
  */
 export function estimateStartByMs(row: DurableJobRow, runTimes: RunTimes): number {
--- a/src/systems/findWaveFailure.ts
+++ b/src/systems/findWaveFailure.ts
@@ -1,13 +1,13 @@
 import type { PoolTables, PoolVmRow, WaveRow, WaveStepRow } from '../tables/index.js';
 import { getFailureDomain } from './getFailureDomain.js';
 
-/** How long a maintained VM has to be lost before the wave is suspected of it, in milliseconds. */
+/** How long a maintained VM has to be lost before it counts as a suspect, in milliseconds. */
 const LOSS_CONFIRMATION_MS = 15_000;
-/** Finished steps below which a single failure stops the wave. */
+/** Finished steps up to which a single failure stops the wave. */
 const EARLY_STEP_COUNT = 3;
-/** Fewest failures that stop a wave later on. */
+/** Fewest failures that stop the wave after that. */
 const MIN_FAILURE_COUNT = 2;
-/** Share of the finished steps above which failures are taken to follow the wave. */
+/** Share of the finished steps at which failures are attributed to the wave. */
 const MAX_FAILURE_FRACTION = 0.1;
 
 /** Options of {@link findWaveFailure}. */
@@ -18,19 +18,19 @@
   readonly steps: readonly WaveStepRow[];
   /** Monotonic time, in milliseconds. */
   readonly nowMs: number;
-  /** Steps of the wave that have finished in any pool; without it those of this pool count. */
+  /** Steps of the wave finished over all pools; defaults to the steps finished in this pool. */
   readonly fleetFinishedCount?: number;
   /** Racks known to have failed, as `data centre/rack`. */
   readonly failedRacks?: ReadonlySet<string>;
 }
 
-/** Whether the loss has lasted: the platform's list lags, and a VM may be missing from one copy. */
+/** Whether a loss has lasted. The platform's list lags, and single copies may lack a VM. */
 function isConfirmedLoss(tables: PoolTables, vm: string, nowMs: number): boolean {
   const sinceMs = tables.losses.get(vm)?.sinceMs;
   return sinceMs !== undefined && nowMs - sinceMs >= LOSS_CONFIRMATION_MS;
 }
 
-/** Racks that lost a VM that the wave has not touched: the rack failed, not the maintenance. */
+/** Racks that lost a VM without a step in the wave, which points to the rack as the cause. */
 function listRacksLostOtherwise(
   tables: PoolTables,
   touchedVms: ReadonlySet<string>,
@@ -43,7 +43,7 @@
   return new Set(untouchedLostVms.map((vm) => getFailureDomain(vm, 'rack')));
 }
 
-/** VMs that came back from maintenance and were lost afterwards. */
+/** VMs that were lost after their maintenance, except those in racks that failed. */
 function listVmsLostAfterwards(options: FindWaveFailureOptions): readonly string[] {
   const { tables, steps, nowMs } = options;
   const racksLostOtherwise = listRacksLostOtherwise(tables, new Set(steps.map((step) => step.vm)));
@@ -58,9 +58,9 @@
 }
 
 /**
- * Lists the VMs whose failure may be the wave's doing.
+ * Lists the VMs whose failure the wave may have caused.
  * @param options - State of the pool, the wave and its steps.
- * @returns VMs whose step failed, or that were lost soon after it.
+ * @returns VMs whose step failed, or that were lost after it.
  */
 export function listSuspectVms(options: FindWaveFailureOptions): readonly string[] {
   const failedVms = options.steps.filter((step) => step.state === 'failed').map((step) => step.vm);
@@ -68,12 +68,12 @@
 }
 
 /**
- * Looks for failures that follow a wave. What the maintenance installs can break every VM that it
- * touches; it shows as failed steps, or as VMs that come back and are lost minutes later. Stray
- * failures happen all the time, so that later in a wave a share of the steps has to fail; the
- * first few VMs are there to catch the fault cheaply, and one failure among them is enough.
+ * Decides whether failures have to stop a wave. Maintenance can install something that breaks
+ * every VM; this shows as failed steps, or as VMs that come back and are lost minutes later. One
+ * failure among the first few VMs stops the wave, so that a fault breaks few of them. Unrelated
+ * failures happen all the time, so later on a share of the finished steps has to fail.
  * @param options - State of the pool, the wave and its steps.
- * @returns Why the wave has to stop, or undefined.
+ * @returns Why the wave has to stop, or undefined if it may go on.
  */
 export function findWaveFailure(options: FindWaveFailureOptions): string | undefined {
   const forgivenVms = options.tables.waveWatches.get(options.wave.wave)?.forgivenVms ?? [];
@@ -84,5 +84,5 @@
       ? 1
       : Math.max(MIN_FAILURE_COUNT, Math.ceil(finishedCount * MAX_FAILURE_FRACTION));
   if (suspectVms.length < stoppingCount) return undefined;
-  return `${suspectVms.length} of ${finishedCount} VMs failed in or after their maintenance: ${suspectVms.join(', ')}`;
+  return `${suspectVms.length} of ${finishedCount} VMs failed during or after their maintenance: ${suspectVms.join(', ')}`;
 }
--- a/src/systems/getMaxStepsInProgress.ts
+++ b/src/systems/getMaxStepsInProgress.ts
@@ -2,11 +2,11 @@
 import { getWaveWidth } from './getWaveWidth.js';
 
 /**
- * Computes how many steps of a wave may be in progress in a pool: one at first, and twice as many
- * each time they go well, so that a maintenance that breaks VMs shows on few of them.
+ * Computes how many steps of a wave may be in progress in a pool: one at first, then twice as many
+ * after each round that succeeds, so that faulty maintenance is noticed after it breaks few VMs.
  * @param tables - State of the pool.
  * @param wave - The wave.
- * @returns Steps at once, at most the width that the settings ask for.
+ * @returns Steps at once, at most the concurrency that the settings give.
  */
 export function getMaxStepsInProgress(tables: PoolTables, wave: WaveRow): number {
   const maintainedCount = tables.waveSteps
--- a/src/systems/getWaveWidth.ts
+++ b/src/systems/getWaveWidth.ts
@@ -1,8 +1,8 @@
 import type { PoolTables } from '../tables/index.js';
 
 /**
- * Computes how many VMs of a pool a wave takes out at once, from the settings' wish for a short
- * roll-out or a small buffer.
+ * Computes how many VMs of a pool a wave may take out at once. The roll-out weight of the settings
+ * trades a short roll-out against a small buffer.
  * @param tables - State of the pool.
  * @returns One VM at weight 0, all that the declared fraction allows at weight 1.
  */
--- a/src/systems/isWithinWindow.ts
+++ b/src/systems/isWithinWindow.ts
@@ -1,10 +1,10 @@
 import type { PoolSettings } from '../settings/index.js';
 
 /**
- * Tells whether maintenance may start steps at a time of day.
+ * Tells whether a time of day lies in a pool's maintenance window.
  * @param maintenance - Window of the pool; one that ends before it starts spans midnight.
  * @param minuteOfDay - Minutes since midnight.
- * @returns Whether the minute lies in the window; a window without length is open all day.
+ * @returns Whether steps may start; a window of length zero is open all day.
  */
 export function isWithinWindow(
   maintenance: PoolSettings['maintenance'],
--- a/src/systems/orderQueue.ts
+++ b/src/systems/orderQueue.ts
@@ -6,12 +6,12 @@
 /** Urgencies in the order in which they are served. */
 const SERVING_ORDER: readonly Urgency[] = ['urgent', 'normal', 'overnight'];
 
-/** What an urgency is owed while a more urgent one would take everything. */
+/** Slots that an urgency is guaranteed while more urgent requests would take all of them. */
 interface AgeingRule {
   readonly urgency: Urgency;
-  /** Wait from which on a job of the urgency is owed a slot, in milliseconds. */
+  /** Wait after which a job of the urgency counts as aged, in milliseconds. */
   readonly owedAfterMs: number;
-  /** Share of the pool's slots that such jobs may take ahead of others; at least one slot. */
+  /** Share of the pool's slots that aged jobs may take ahead of others; at least one slot. */
   readonly owedSlotFraction: number;
 }
 
@@ -20,7 +20,7 @@
   { urgency: 'overnight', owedAfterMs: 900_000, owedSlotFraction: 0.05 },
 ];
 
-/** A request with its place in the weighted fair order. */
+/** A request with its rank in the weighted fair order. */
 interface RankedRequest {
   readonly request: QueuedRow;
   /** Weighted share that its team would hold just before the request is served. */
@@ -33,9 +33,9 @@
 }
 
 /**
- * Orders requests of one urgency by weighted fair share. A team's next request is ranked by the
- * slots that the team holds and has been ranked for already, over its weight, so a team with ten
- * times the requests waits behind itself and not ahead of a small one.
+ * Orders requests of one urgency by weighted fair share. The rank of a team's next request is the
+ * slots that the team holds plus its requests ranked so far, divided by its weight. So a team with
+ * ten times the requests of a small team does not delay the small one.
  */
 function orderFairly(
   tables: PoolTables,
@@ -55,17 +55,17 @@
 }
 
 /**
- * Counts the slots that an urgency is owed, however much more urgent work there is.
+ * Counts the slots that an urgency is guaranteed, however much more urgent work there is.
  * @param urgency - The urgency.
  * @param slotCount - Slots of the pool.
- * @returns Slots, 0 for an urgency that is owed none.
+ * @returns Slots, 0 for an urgency without a guarantee.
  */
 export function owedSlotCount(urgency: Urgency, slotCount: number): number {
   const rule = AGEING_RULES.find((candidate) => candidate.urgency === urgency);
   return rule === undefined ? 0 : Math.max(1, Math.floor(rule.owedSlotFraction * slotCount));
 }
 
-/** Lists the requests that have waited long enough to be owed a slot, oldest first. */
+/** Lists the aged requests for which guaranteed slots are left, oldest first by urgency. */
 function listOwed(
   load: PoolLoad,
   requests: readonly QueuedRow[],
@@ -91,16 +91,16 @@
   readonly nowMs: number;
 }
 
-/** Requests in the order in which they are served. */
+/** Order in which requests are served. */
 export interface ServingOrder {
-  /** Requests that have waited so long that they go first. */
+  /** Requests that have waited so long that they are served first. */
   readonly owed: ReadonlySet<QueuedRow>;
   readonly requests: readonly QueuedRow[];
 }
 
 /**
- * Orders a pool's queue: what is owed after a long wait, then by urgency, and within an urgency
- * by weighted fair share of the teams.
+ * Orders a pool's queue: aged requests first, then by urgency, and within an urgency by weighted
+ * fair share of the teams.
  * @param options - State of the pool, its load and the requests to order.
  * @returns The order.
  */
--- a/src/systems/placeQueuedJobs.ts
+++ b/src/systems/placeQueuedJobs.ts
@@ -12,38 +12,38 @@
 import { RunEstimator } from './RunEstimator.js';
 import type { VmLoad } from './VmLoad.js';
 
-/** Shares of the pool's slots kept free of an urgency's jobs, for what is more urgent. */
+/** Shares of the pool's slots that jobs of an urgency leave free for more urgent ones. */
 const NORMAL_HEADROOM_FRACTION = 0.05;
 const OVERNIGHT_HEADROOM_FRACTION = 0.1;
-/** Mean time between two ends of runs that urgent work may wait for, in milliseconds. */
+/** Mean interval between run ends up to which urgent work needs no free slots, in milliseconds. */
 const SOON_FREE_MS = 500;
-/** Wait from which on a VM is kept free for a job that fits nowhere, in milliseconds. */
+/** Wait after which a VM is reserved for a job that fits on no VM, in milliseconds. */
 const RESERVE_AFTER_MS = 10_000;
 
 /** Options of {@link placeQueuedJobs}. */
 export interface PlaceQueuedJobsOptions {
   /** Monotonic time, in milliseconds. */
   readonly nowMs: number;
-  /** Source of the ties' outcome. */
+  /** Random source that breaks ties between VMs. */
   readonly rng: Rng;
 }
 
-/** What one run of the placement works on. */
+/** State of one placement round. */
 interface PlacementRun extends PlaceQueuedJobsOptions {
   readonly tables: PoolTables;
   readonly load: PoolLoad;
   readonly estimator: RunEstimator;
   readonly owed: ReadonlySet<QueuedRow>;
   readonly largestVmMemoryMb: number;
-  /** Sizes that were found to fit nowhere; within a run VMs only fill up. */
+  /** Sizes that fit on no VM; this stays true, since VMs only fill up during a round. */
   readonly unfitSizes: Set<string>;
-  /** VM, at most one, that is kept free for a job that has fitted nowhere for long. */
+  /** VM, at most one, that is reserved for a job that has long fitted on no VM. */
   readonly reservedVms: Set<string>;
 }
 
 /**
- * Slots to keep free when a job of an urgency is placed. Where normal runs are short, one of them
- * ends soon enough for urgent work, and no slot has to idle for it.
+ * Slots to keep free when a job of an urgency is placed. If normal runs are short, one of them ends
+ * soon enough for urgent work, and no slot has to stay idle for it.
  */
 function headroomSlotCount(urgency: Urgency, slotCount: number, meanRunMs: number): number {
   switch (urgency) {
@@ -61,8 +61,8 @@
 }
 
 /**
- * Learned size of a request, at most the largest VM: a few runs that were measured far too large
- * must not keep a whole kind from ever running and being measured again.
+ * Learned size of a request, limited to the memory of the largest VM. Without the limit, a few runs
+ * measured far too large would keep a kind from ever running and being measured again.
  */
 function sizeOf(run: PlacementRun, request: QueuedRow): JobSize {
   const { coreCount, memoryMb } = learnedSize(run.tables, request);
@@ -70,8 +70,8 @@
 }
 
 /**
- * Whether quota and headroom let a request start now. Headroom is kept in the pool and in the
- * team's quota alike: a team that filled its quota with overnight runs would block its own saves.
+ * Whether quota and headroom let a request start now. Headroom is kept both in the pool and in the
+ * team's quota, since a team that fills its quota with overnight runs would block its own saves.
  */
 function mayStart(run: PlacementRun, request: QueuedRow): boolean {
   const { load, owed } = run;
@@ -88,7 +88,7 @@
   );
 }
 
-/** Finds a VM for a request, and remembers sizes for which there is none. */
+/** Finds a VM for a request, and records sizes that fit on no VM. */
 function findVm(run: PlacementRun, request: QueuedRow, size: JobSize): VmLoad | undefined {
   const sizeKey = `${request.urgency === 'urgent'}/${size.coreCount}/${size.memoryMb}`;
   if (run.unfitSizes.has(sizeKey)) return undefined;
@@ -98,8 +98,8 @@
 }
 
 /**
- * Keeps a VM free for a large job. Small jobs fit into every gap, so without this a large one
- * would be passed over for as long as there are small ones.
+ * Reserves a VM for a large job. Small jobs fit into every gap, so without a reservation a large
+ * job would starve for as long as small ones arrive.
  */
 function reserveFor(run: PlacementRun, request: QueuedRow, size: JobSize): void {
   const { load, nowMs } = run;
@@ -118,7 +118,7 @@
   if (emptiest !== undefined) run.reservedVms.add(emptiest.vm.vm);
 }
 
-/** Places a request, or leaves it waiting. */
+/** Places a request; undefined leaves it waiting. */
 function tryPlace(run: PlacementRun, request: QueuedRow): PlacementDecision | undefined {
   if (!mayStart(run, request)) return undefined;
   const size = sizeOf(run, request);
@@ -140,10 +140,10 @@
 }
 
 /**
- * Decides about the requests that wait for a slot of a pool: which start where, which are refused
- * and why, and which running ones have to make room.
+ * Decides about the requests that wait for a slot of a pool: which start on which VM, which are
+ * refused and why, and which runs are preempted.
  * @param tables - State of the pool; only its preemptions are changed.
- * @param options - Time and source of randomness.
+ * @param options - Time and random source.
  * @returns Decisions; requests without one stay queued.
  */
 export function placeQueuedJobs(
--- a/src/systems/planCapacity.ts
+++ b/src/systems/planCapacity.ts
@@ -10,12 +10,12 @@
 
 /** How long a lost VM still counts: most come back at once, and a move costs more than that. */
 const LOSS_GRACE_MS = 5_000;
-/** How long a surplus has to last before VMs are released: demand that swings moves nothing. */
+/** How long a surplus has to last before VMs are released, so that swings in demand move none. */
 const SURPLUS_HOLD_MS = 600_000;
 /** How long a VM that the platform reports as gone stays with its pool. */
 const GONE_HOLD_MS = 600_000;
 
-/** VMs without gain of their own that are adopted for the gain of the ones after them. */
+/** Most VMs without gain in a row after which one more is tried, as later ones may gain. */
 const MAX_GAINLESS_COUNT = 2;
 
 /** Options of {@link planCapacity}. */
@@ -26,30 +26,30 @@
   readonly unassignedVms: readonly VmRow[];
 }
 
-/** What the running waves want of a pool. */
+/** What a running wave needs of a pool. */
 interface WaveNeed {
-  /** VMs that they take out at once. */
+  /** VMs that it takes out at once. */
   readonly outVmCount: number;
-  /** Whether fewer VMs are left to maintain than they would take out at once. */
+  /** Whether fewer VMs are left to maintain than it could take out at once. */
   readonly isEnding: boolean;
 }
 
-/** What the pool has and what it should have. */
+/** Present and required capacity of a pool. */
 interface CapacityPlan {
   readonly tables: PoolTables;
-  /** VMs that the pool can count on. */
+  /** VMs that count towards the capacity. */
   readonly presentVms: readonly PoolVmRow[];
   readonly slots: DomainSlots;
   readonly dataCentreSlots: DomainSlots;
-  /** Slots to have left after the loss of the largest failure domain. */
+  /** Slots that have to remain after the loss of the largest failure domain. */
   readonly targetSlotCount: number;
-  /** VMs to have, so that a wave may take one of them out. */
+  /** VMs that the pool needs so that a wave may take one of them out. */
   readonly targetVmCount: number;
-  /** What the running waves want of the pool; undefined while there are none. */
+  /** What the running wave needs of the pool; undefined if no wave runs. */
   readonly waveNeed: WaveNeed | undefined;
 }
 
-/** Whether the pool can count on a VM: it serves, or a wave step will bring it back. */
+/** Whether a VM counts towards the capacity: it serves, is in a wave step, or was lost just now. */
 function isPresent(
   tables: PoolTables,
   vm: PoolVmRow,
@@ -62,10 +62,10 @@
 }
 
 /**
- * Finds what the running waves want of the pool. A pool that has just what it needs could never
- * take a VM out, and the wave would wait for ever; with a standing reserve every pool would hold
- * idle VMs all day. So VMs are borrowed while the wave runs, no more than its next steps take
- * out, because pools that are maintained at the same time share the spare VMs.
+ * Finds what the running wave needs of the pool. A pool with no more than its needed slots could
+ * never take a VM out, and the wave would wait for ever; a permanent reserve would leave idle VMs
+ * in every pool all day. So VMs are borrowed while the wave runs, and only as many as its next
+ * steps take out, since pools that are maintained at the same time share the spare VMs.
  */
 function findWaveNeed(tables: PoolTables, steppedVms: ReadonlySet<string>): WaveNeed | undefined {
   const wave = tables.waves.list().find(({ state }) => state === 'running');
@@ -83,7 +83,7 @@
   return tables.vms.list().reduce((most, vm) => Math.max(most, vm.slotCount), 0);
 }
 
-/** Measures the pool. */
+/** Computes the present and the required capacity. */
 function measure(tables: PoolTables, nowMs: number): CapacityPlan {
   const steppedVms = listSteppedVms(tables);
   const presentVms = tables.vms.list().filter((vm) => isPresent(tables, vm, steppedVms, nowMs));
@@ -106,16 +106,16 @@
   };
 }
 
-/** Slots that a VM adds to what is left after the loss of the largest domain. */
+/** Slots that a VM adds to those that remain after the loss of the largest domain. */
 function gainOf(slots: DomainSlots, largestSlotCount: number, vm: VmRow): number {
   const domainSlotCount = slots.countInDomainOf(vm) + vm.slotCount;
   return vm.slotCount - Math.max(0, domainSlotCount - largestSlotCount);
 }
 
-/** How good a VM is for the pool; compared field by field, the smallest first. */
+/** Sort key of a VM for adoption, compared element by element; the smallest is the best. */
 type AdoptionRank = readonly number[];
 
-/** Ranks a VM for adoption: most gain up to the lack, least waste, then the widest spread. */
+/** Ranks a VM for adoption: most gain up to the missing slots, least waste, then widest spread. */
 function rankForAdoption(
   plan: CapacityPlan,
   vm: VmRow,
@@ -128,7 +128,7 @@
     usefulGain >= missingSlotCount ? vm.slotCount : -vm.slotCount,
     plan.slots.countInDomainOf(vm),
     plan.dataCentreSlots.countInDomainOf(vm),
-    // Homes that look for VMs at the same moment should not all want the same one.
+    // Homes that look for VMs at the same time should choose different ones.
     hashText(`${plan.tables.pool} ${vm.vm}`),
   ];
 }
@@ -139,7 +139,7 @@
   return place < 0 ? 0 : left[place]! - right[place]!;
 }
 
-/** Picks the VM that helps most. */
+/** Picks the candidate with the best rank. */
 function pickAdoption(
   plan: CapacityPlan,
   candidates: readonly VmRow[],
@@ -167,9 +167,9 @@
 }
 
 /**
- * Plans the adoptions that the pool lacks. Where all failure domains are equally full, the next VM
- * alone gains nothing, since it enlarges the largest loss; the ones after it do gain. So a few VMs
- * without gain are looked past, and given up again if none after them gains either.
+ * Plans the adoptions that the pool needs. If all failure domains are equally full, the next VM
+ * alone gains nothing, since it enlarges the largest loss, but the VMs after it do gain. So a few
+ * VMs without gain are accepted tentatively, and dropped if no later one gains either.
  */
 function planAdoptions(
   plan: CapacityPlan,
@@ -194,7 +194,7 @@
     decisions.push({
       type: 'adopt',
       vm: picked.vm,
-      reason: `${leftSlotCount} slots would be left after the loss of a ${domain}; ${targetSlotCount} are wanted`,
+      reason: `${leftSlotCount} slots would be left after the loss of a ${domain}; ${targetSlotCount} are required`,
     });
     slots.add(picked);
     plan.dataCentreSlots.add(picked);
@@ -204,12 +204,12 @@
   return decisions.slice(0, usefulCount);
 }
 
-/** Names of VMs that hold grants, which a move would cut off. */
+/** Names of VMs that hold grants, whose runs a move would interrupt. */
 function listBusyVms(tables: PoolTables): ReadonlySet<string> {
   return new Set(tables.grants.list().map((grant) => grant.vm));
 }
 
-/** Releases VMs that the platform reports as gone, so that they stop eating the budget. */
+/** Releases VMs that the platform has long reported as gone and that still use up the budget. */
 function planGoneReleases(
   tables: PoolTables,
   busyVms: ReadonlySet<string>,
@@ -222,7 +222,7 @@
     .map((vm) => ({ type: 'release', vm: vm.vm, reason: 'the VM is gone for good' }));
 }
 
-/** Plans the releases that leave the pool with just what it needs; largest VMs go first. */
+/** Plans the releases of VMs that the pool does not need; the largest VMs are released first. */
 function planSurplusReleases(
   plan: CapacityPlan,
   busyVms: ReadonlySet<string>,
@@ -252,16 +252,15 @@
   return releasedVms.map((vm) => ({
     type: 'release',
     vm,
-    reason: `${plan.targetSlotCount} slots are left without it after the largest loss`,
+    reason: `${plan.targetSlotCount} slots are left without it after the loss of the largest failure domain`,
   }));
 }
 
 /**
- * Decides which VMs a pool takes from the unassigned ones and which it gives back: as few moves
- * as its budget allows. While a wave maintains the pool nothing is released, and the VMs that its
- * steps have taken out count as present, so that a wave moves nothing but what it borrows at its
- * start and gives back when it is through with the pool.
- * @param tables - State of the pool; its losses and surplus time are brought up to date.
+ * Decides which unassigned VMs a pool adopts and which VMs it releases, with as few moves as its
+ * budget allows. While a wave maintains the pool no surplus is released, and VMs in a step count as
+ * present. So a wave moves only the VMs that the pool borrows at its start and returns at its end.
+ * @param tables - State of the pool; its losses and surplus time are updated.
  * @param options - The time and the VMs without a pool.
  * @returns Adoptions or releases.
  */
@@ -285,7 +284,7 @@
   }
   const sinceMs = tables.surplusSinceMs ?? nowMs;
   tables.noteSurplus(sinceMs);
-  // Other pools of the wave may wait for the VMs that this one has borrowed.
+  // Other pools of the wave may wait for the VMs that this pool has borrowed.
   const lasts = plan.waveNeed?.isEnding === true || nowMs - sinceMs >= SURPLUS_HOLD_MS;
   return lasts ? [...goneReleases, ...releases] : goneReleases;
 }
--- a/src/systems/planPreemptions.ts
+++ b/src/systems/planPreemptions.ts
@@ -5,7 +5,7 @@
 import { owedSlotCount } from './orderQueue.js';
 import { type PoolLoad, THROTTLED_CORE_FRACTION } from './PoolLoad.js';
 
-/** How long a checkpoint may take before another run is asked to make room, in milliseconds. */
+/** How long a checkpoint may take before another run is preempted, in milliseconds. */
 const CHECKPOINT_WAIT_MS = 10_000;
 
 /** Options of {@link planPreemptions}. */
@@ -18,7 +18,7 @@
   readonly nowMs: number;
 }
 
-/** Forgets preemptions whose grant has ended, and checkpoints that have taken too long. */
+/** Removes preemptions whose grant has ended, and checkpoints that have taken too long. */
 function dropEndedPreemptions(tables: PoolTables, nowMs: number): void {
   tables.preemptions
     .list()
@@ -30,12 +30,12 @@
     .forEach(({ grantId }) => tables.preemptions.remove(grantId));
 }
 
-/** Whether the settings let a run be checkpointed. */
+/** Whether the settings declare the run's kind as checkpointable. */
 function isCheckpointable(tables: PoolTables, grant: GrantRow): boolean {
   return tables.settings.jobKinds[grant.jobKind]?.checkpointable === true;
 }
 
-/** What a preemption would free on the grant's VM. */
+/** Resources that a preemption would free on the grant's VM. */
 function freedBy(
   tables: PoolTables,
   grant: GrantRow,
@@ -54,8 +54,8 @@
 }
 
 /**
- * Whether ending or throttling the run would let the request start on its VM. Where the team's
- * quota is what keeps the request waiting, only the end of one of the team's own runs helps.
+ * Whether ending or throttling the run would let the request start on its VM. If the request waits
+ * because of its team's quota, only ending one of the team's own runs helps.
  */
 function makesRoom(options: PlanPreemptionsOptions, grant: GrantRow, request: QueuedRow): boolean {
   if (request.excludedVms.includes(grant.vm)) return false;
@@ -67,8 +67,8 @@
 }
 
 /**
- * Overnight runs that may be preempted, the youngest first since they lose the least. The slots
- * that overnight work is owed are left alone, so that urgent work cannot starve it for ever.
+ * Overnight runs that may be preempted, the youngest first since they lose the least work. The
+ * guaranteed slots of overnight work are exempt, so that urgent work cannot starve it.
  */
 function listPreemptible(options: PlanPreemptionsOptions): readonly GrantRow[] {
   const { tables, load } = options;
@@ -84,10 +84,11 @@
 
 /**
  * Makes room for urgent requests that found no VM: an overnight run is checkpointed, or throttled
- * where only processors are missing. Each pending checkpoint counts for one waiting request, since
- * it takes seconds to free its slot and must not be followed by another one each tick.
+ * if its kind is not checkpointable and only processors are missing. A pending checkpoint counts
+ * for one waiting request: it takes seconds to free its slot, and must not be followed by another
+ * one each tick.
  * @param options - State and load of the pool, and the urgent requests without a VM.
- * @returns Preemptions; they are also noted in the pool's state.
+ * @returns Preemptions, which are also recorded in the pool's state.
  */
 export function planPreemptions(options: PlanPreemptionsOptions): readonly PlacementDecision[] {
   const { tables, waitingUrgent, nowMs } = options;
@@ -110,10 +111,10 @@
 }
 
 /**
- * Gives throttled runs their processors back once no urgent request waits.
- * @param tables - State of the pool; the runs are no longer noted as throttled.
+ * Ends the throttling of runs on VMs with enough free cores; called when no urgent request waits.
+ * @param tables - State of the pool; the preemptions of these runs are removed.
  * @param load - Load of the pool.
- * @returns The runs to let go on at full speed.
+ * @returns The runs that continue at full speed.
  */
 export function planUnthrottles(tables: PoolTables, load: PoolLoad): readonly PlacementDecision[] {
   return tables.preemptions
--- a/src/systems/planWaveSteps.ts
+++ b/src/systems/planWaveSteps.ts
@@ -13,19 +13,20 @@
 export interface PlanWaveStepsOptions {
   /** Monotonic time, in milliseconds. */
   readonly nowMs: number;
-  /** Minutes since midnight where the pool is, for its maintenance window. */
+  /** Minutes since midnight at the pool's location, for its maintenance window. */
   readonly minuteOfDay: number;
-  /** Progress of each wave over all pools; without it each pool starts on its own. */
+  /** Progress of each wave over all pools; without it each pool starts independently. */
   readonly fleetProgress?: ReadonlyMap<string, WaveProgress>;
   /**
-   * Racks, as `data centre/rack`, that have lost every VM at once, or one that no wave has touched,
-   * in whichever pool. A pool whose few VMs in a lost rack were all maintained cannot tell that
-   * loss from a broken maintenance on its own, and stops the wave; the rack's other VMs can.
+   * Racks, as `data centre/rack`, that have lost every VM at once, or a VM without a step in any
+   * wave, over all pools. If a pool's few VMs in a lost rack were all maintained, the pool alone
+   * cannot tell this loss from faulty maintenance and would stop the wave; the rack's other VMs
+   * show the difference.
    */
   readonly failedRacks?: ReadonlySet<string>;
 }
 
-/** What the planning of one wave works on. */
+/** State of the planning of one wave. */
 interface WavePlan extends PlanWaveStepsOptions {
   readonly tables: PoolTables;
   readonly wave: WaveRow;
@@ -33,7 +34,7 @@
   readonly tally: BudgetTally;
 }
 
-/** VMs still to maintain: those out already first, then rack by rack. */
+/** VMs still to maintain: those already unavailable first, then rack by rack. */
 function listRemainingVms(plan: WavePlan): readonly PoolVmRow[] {
   const { failureDomain } = plan.tables.settings.availability;
   const sortKeys = new Map<PoolVmRow, string>();
@@ -48,10 +49,10 @@
 }
 
 /**
- * Whether it is the pool's turn to begin with a wave over several pools. If every home began at
- * once, a bad maintenance would break a VM in each pool before the first failure shows. So the
- * pools join one by one as VMs come back; the turn moves with the minute, lest a pool that cannot
- * begin holds up the others.
+ * Whether the pool may begin with a wave over several pools. If every home began at once, faulty
+ * maintenance would break a VM in each pool before the first failure shows. So the pools join one
+ * by one as VMs come back. The order rotates each minute, so that a pool that cannot begin does
+ * not hold up the others.
  */
 function isPoolsTurn(plan: WavePlan): boolean {
   if (plan.fleetProgress === undefined) return true;
@@ -62,7 +63,7 @@
   return turn <= fleet.maintainedVmCount && fleet.inProgressVmCount <= fleet.maintainedVmCount;
 }
 
-/** Takes VMs as long as the budget holds with each of them out on top. */
+/** Takes VMs in order until the budget would be exceeded with the next one out in addition. */
 function takeWithinBudget(plan: WavePlan, candidates: readonly PoolVmRow[]): readonly PoolVmRow[] {
   const taken: PoolVmRow[] = [];
   candidates.every((vm) => {
@@ -76,7 +77,7 @@
   return taken;
 }
 
-/** Says why a wave starts nothing although VMs remain. */
+/** Explains why the budget allows no step although VMs remain. */
 function explainBudget(plan: WavePlan, candidate: PoolVmRow): string {
   const wasAccepting = plan.tally.isAccepting(candidate.vm);
   plan.tally.takeOut(candidate.vm);
@@ -85,7 +86,7 @@
   return verdict.type === 'exceeded' ? verdict.reason : 'the budget allows no further VM';
 }
 
-/** Steps of the wave that have finished in any pool; undefined where only this pool is known. */
+/** Steps of the wave finished over all pools; undefined if the progress there is not known. */
 function countFinishedInFleet(plan: WavePlan): number | undefined {
   const fleet = plan.fleetProgress?.get(plan.wave.wave);
   return fleet && fleet.maintainedVmCount + fleet.failedVmCount;
@@ -114,21 +115,21 @@
     type: 'start-step',
     wave,
     vm: vm.vm,
-    reason: `the budget holds with ${plan.tally.outVmCount} of ${plan.tally.allowedOutVmCount} VMs out`,
+    reason: `within the budget: ${plan.tally.outVmCount} VMs unavailable, ${plan.tally.allowedOutVmCount} allowed`,
   }));
 }
 
-/** Remembers the failures of a paused wave: whoever resumes it has accepted them. */
+/** Records the failures of a paused wave as accepted, since whoever resumes it accepts them. */
 function forgive(plan: WavePlan): void {
   plan.tables.waveWatches.put({ wave: plan.wave.wave, forgivenVms: listSuspectVms(plan) });
 }
 
 /**
- * Decides which VMs of a pool the running waves maintain next. A step is allowed only if the
- * availability budget holds after it; losses that nobody planned count at once.
- * @param tables - State of the pool; its losses and watched waves are brought up to date.
+ * Decides which VMs of a pool the running waves maintain next. A step is allowed only if the pool
+ * stays within its availability budget; unplanned losses count at once.
+ * @param tables - State of the pool; its losses and watched waves are updated.
  * @param options - Time, minute of the day and the waves' progress in other pools.
- * @returns Steps to start, waits with their reason, and waves to stop.
+ * @returns Steps to start, waves that wait and waves to stop, each with its reason.
  */
 export function planWaveSteps(
   tables: PoolTables,
--- a/src/systems/recordRun.ts
+++ b/src/systems/recordRun.ts
@@ -6,9 +6,9 @@
 import { quantile } from './quantile.js';
 import { MAX_FAILED_VM_COUNT } from './refuseHopeless.js';
 
-/** Latest runs that a kind's quantiles are taken over. */
+/** Number of latest runs over which the quantiles of a kind are computed. */
 const RECENT_RUN_COUNT = 64;
-/** Quantile of run time and memory that is learned. */
+/** Quantile of run time and memory that a kind's history keeps. */
 const LEARNED_QUANTILE = 0.9;
 /** Distinct kinds of job that have to fail on a VM before it is quarantined. */
 const MIN_FAILED_KIND_COUNT = 2;
@@ -16,13 +16,13 @@
 const MIN_FAILED_REQUEST_COUNT = 3;
 /** VMs on which a kind has to fail before the kind, not the VMs, is at fault. */
 const MIN_KIND_FAILED_VM_COUNT = 3;
-/** First quarantine, and the longest; each one after a failed trial lasts twice as long. */
+/** First and longest quarantine, in milliseconds; each failed trial doubles the length. */
 const FIRST_QUARANTINE_MS = 60_000;
 const MAX_QUARANTINE_MS = 1_800_000;
 /** Ids of failed requests kept for a VM. */
 const MAX_KEPT_FAILURE_COUNT = 16;
 
-/** How an attempt on a VM ended. Leave out those that their caller cancelled: they say nothing. */
+/** How an attempt on a VM ended. Omit attempts that their caller cancelled: they show nothing. */
 export interface RecordRunOptions {
   /** Monotonic time, in milliseconds. */
   readonly nowMs: number;
@@ -32,18 +32,18 @@
   readonly result: GrantResult;
   /** How long the attempt ran, in milliseconds. */
   readonly ranMs: number;
-  /** Memory that the run was seen to use; undefined where nothing was measured. */
+  /** Measured memory of the run, in megabytes; undefined if not measured. */
   readonly usedMemoryMb?: number;
-  /** VMs that the request failed on before. */
+  /** VMs on which the request failed before. */
   readonly excludedVms: readonly string[];
 }
 
-/** Adds a value to a bounded list of the latest ones. */
+/** Appends a value to a list and keeps only the latest ones. */
 function withLatest(values: readonly number[], value: number): readonly number[] {
   return [...values, value].slice(-RECENT_RUN_COUNT);
 }
 
-/** Learns run time and memory from a run that ended well. */
+/** Updates the run time and memory of a kind after a successful run. */
 function learn(tables: PoolTables, run: RecordRunOptions): void {
   const before: JobKindHistoryRow | undefined = tables.history.get(run.jobKind);
   const declaredMemoryMb = tables.settings.jobKinds[run.jobKind]?.memoryMb ?? 0;
@@ -64,15 +64,15 @@
   });
 }
 
-/** A run that ended well clears what was held against its VM. */
+/** Clears the recorded failures of a VM after a successful run. */
 function trust(tables: PoolTables, run: RecordRunOptions): readonly RunVerdict[] {
   const health = tables.health.get(run.vm);
   tables.health.remove(run.vm);
   const wasQuarantined = health?.quarantinedUntilMs !== undefined;
-  return wasQuarantined ? [{ type: 'restore', vm: run.vm, reason: 'a run ended well on it' }] : [];
+  return wasQuarantined ? [{ type: 'restore', vm: run.vm, reason: 'a run on it succeeded' }] : [];
 }
 
-/** Takes a request's failures off every VM, once the request itself is at fault. */
+/** Removes a request's failures from every VM, once the request itself is found at fault. */
 function acquitVms(tables: PoolTables, requestId: string): void {
   tables.health
     .list()
@@ -84,7 +84,7 @@
     });
 }
 
-/** Adds a failure to what is held against a VM. */
+/** Adds a failed attempt to the recorded failures of its VM. */
 function noteFailure(tables: PoolTables, run: RecordRunOptions): VmHealthRow {
   const before = tables.health.get(run.vm);
   const health: VmHealthRow = {
@@ -107,7 +107,7 @@
   return vms.length >= MIN_KIND_FAILED_VM_COUNT;
 }
 
-/** Says why a VM is to be quarantined, if it is. */
+/** Returns why a VM has to be quarantined, or undefined if it does not. */
 function findFault(tables: PoolTables, health: VmHealthRow): string | undefined {
   const failedAfterTrial = health.quarantineCount > 0;
   if (failedAfterTrial) return 'the first run after its quarantine failed';
@@ -121,8 +121,8 @@
 }
 
 /**
- * Quarantines a VM if the budget allows. Judging VMs wrongly, by a broken job or a broken network,
- * must not take the pool away; where the budget forbids it the VM still gets single trial runs.
+ * Quarantines a VM if the budget allows. Wrong quarantines, because of a broken job or a broken
+ * network, must not empty the pool; a VM that the budget exempts still gets single trial runs.
  */
 function quarantine(
   tables: PoolTables,
@@ -145,18 +145,18 @@
 }
 
 /**
- * Learns from an attempt that ended: sizes and run times from a good one; from a failed one
+ * Records how an attempt ended: a success updates learned sizes and run times; a failure decides
  * whether the VM or the request is at fault.
- * @param tables - State of the pool; its history and health are brought up to date.
+ * @param tables - State of the pool; its history and health are updated.
  * @param run - How the attempt ended.
- * @returns VMs quarantined or restored, and requests that are at fault themselves.
+ * @returns VMs quarantined or restored, and requests found at fault.
  */
 export function recordRun(tables: PoolTables, run: RecordRunOptions): readonly RunVerdict[] {
   if (run.result === 'run') {
     learn(tables, run);
     return trust(tables, run);
   }
-  // A wave of cancellations says nothing against the VMs that ran the jobs.
+  // Cancellations, even many at once, are no evidence against the VMs that ran the jobs.
   if (run.result === 'cancelled') return [];
   const failedVms = new Set([...run.excludedVms, run.vm]);
   if (failedVms.size >= MAX_FAILED_VM_COUNT) {
--- a/src/systems/refuseHopeless.ts
+++ b/src/systems/refuseHopeless.ts
@@ -4,35 +4,36 @@
 import { getTeamQuota } from './getTeamQuota.js';
 import type { RunEstimator } from './RunEstimator.js';
 
-/** VMs that a request may fail on before it is taken to be at fault itself. */
+/** VMs on which a request has to fail before the request itself counts as at fault. */
 export const MAX_FAILED_VM_COUNT = 3;
-/** Shortest and longest time that a refused caller is told to stay away, in milliseconds. */
+/** Shortest and longest time after which a refused caller may retry, in milliseconds. */
 const MIN_RETRY_AFTER_MS = 1_000;
 const MAX_RETRY_AFTER_MS = 60_000;
-/** When to look again for a pool that has no VM yet, in milliseconds. */
+/** Time after which a caller may retry if the pool has no VM yet, in milliseconds. */
 const NO_VM_RETRY_AFTER_MS = 5_000;
 /**
- * Share of an estimated wait that is believed. A request that has just come is refused as soon as
- * its wait looks too long; one that waits already only when that is clear, since an early answer
- * is worth most and estimates swing. Waits estimated from declared run times count for less.
+ * Factors by which an estimated wait is multiplied before it is compared with the deadline. A new
+ * request is refused as soon as its wait looks too long, since an early refusal helps the caller
+ * most. A request that already waits is refused only if that is clear, since estimates fluctuate.
+ * Waits estimated from declared run times count for less.
  */
 const BELIEVED_OF_NEW_FRACTION = 1;
 const BELIEVED_OF_WAITING_FRACTION = 0.6;
 const BELIEVED_OF_DECLARED_FRACTION = 0.5;
-/** How long a request counts as one that has just come, in milliseconds. */
+/** How long a request counts as new, in milliseconds. */
 const NEW_REQUEST_MS = 300;
 
-/** Options of the refusals. */
+/** Options of {@link refuseHopeless} and {@link refuseLate}. */
 export interface RefuseOptions {
   /** Monotonic time, in milliseconds. */
   readonly nowMs: number;
   readonly estimator: RunEstimator;
 }
 
-/** A refusal. */
+/** Decision to refuse a request. */
 export type Refusal = Extract<PlacementDecision, { type: 'refuse' }>;
 
-/** Keeps a time to stay away within reason. */
+/** Limits a retry time to the allowed range. */
 function clampRetryAfter(ms: number): number {
   return Math.round(Math.min(MAX_RETRY_AFTER_MS, Math.max(MIN_RETRY_AFTER_MS, ms)));
 }
@@ -46,7 +47,7 @@
   );
 }
 
-/** Finds what makes a request impossible whatever the load. */
+/** Finds why a request cannot be served, whatever the load. */
 function findImpossible(
   tables: PoolTables,
   vms: readonly PoolVmRow[],
@@ -61,7 +62,7 @@
   if (leftMs < shortestMs) {
     return {
       kind: 'deadline-past',
-      reason: `its deadline is ${Math.round(leftMs)} ms away and hardly any run of its kind takes less than ${Math.round(shortestMs)} ms`,
+      reason: `its deadline is ${Math.round(leftMs)} ms away, but nearly every run of its kind takes at least ${Math.round(shortestMs)} ms`,
       retryAfterMs: 0,
     };
   }
@@ -83,11 +84,11 @@
   if (!vms.some((vm) => vm.memoryMb >= memoryMb && vm.coreCount >= coreCount)) {
     return {
       kind: 'job-too-large',
-      reason: `it declares ${coreCount} cores and ${memoryMb} MB; no VM of the pool has that`,
+      reason: `it declares ${coreCount} cores and ${memoryMb} MB; no VM of the pool has both`,
       retryAfterMs: 0,
     };
   }
-  // A job that fails wherever it goes would otherwise visit and hold up every VM of the pool.
+  // A job that fails everywhere would otherwise be tried on every VM of the pool and hold it up.
   const failedCount = request.excludedVms.length;
   if (hasFailedEverywhere(request, vms)) {
     return {
@@ -99,7 +100,7 @@
   return undefined;
 }
 
-/** Refuses the youngest requests of teams that have more waiting than their quota allows. */
+/** Refuses the youngest requests of teams that have more of them queued than their quota allows. */
 function refuseOverfull(
   tables: PoolTables,
   requests: readonly QueuedRow[],
@@ -130,11 +131,11 @@
 }
 
 /**
- * Refuses the requests that cannot be served, before any is placed, so that their callers learn
- * it at once.
+ * Refuses the requests that cannot be served. It runs before any request is placed, so that the
+ * callers are told at once.
  * @param tables - State of the pool.
  * @param options - Time and estimates of run times.
- * @returns Refusals with their kind and when to come back.
+ * @returns Refusals with their kind and retry time.
  */
 export function refuseHopeless(tables: PoolTables, options: RefuseOptions): readonly Refusal[] {
   const requests = tables.queue.list();
@@ -148,7 +149,7 @@
   return [...impossible, ...refuseOverfull(tables, possible, options)];
 }
 
-/** Share of a request's estimated wait that is believed. */
+/** Factor by which a request's estimated wait is multiplied. */
 function believedFraction(request: QueuedRow, options: RefuseOptions): number {
   const { nowMs, estimator } = options;
   if (!estimator.estimate(request.jobKind).isMeasured) return BELIEVED_OF_DECLARED_FRACTION;
@@ -157,13 +158,13 @@
 }
 
 /**
- * Refuses waiting requests that the work ahead of them keeps from their deadline. Under overload
- * they would otherwise wait, take a slot too late, and waste it on an answer that nobody reads;
- * so a request only waits while even a long run could still end in time.
+ * Refuses waiting requests that would miss their deadline because of the work ahead of them. Under
+ * overload they would otherwise wait, get a slot too late, and waste it on an answer that nobody
+ * reads. So a request waits only while even a long run could still end in time.
  * @param waiting - Requests that got no slot, in the order in which they will be served.
  * @param slotCount - Slots of the accepting VMs.
  * @param options - Time and estimates of run times.
- * @returns Refusals with when to come back.
+ * @returns Refusals with their retry time.
  */
 export function refuseLate(
   waiting: readonly QueuedRow[],
@@ -185,7 +186,7 @@
         type: 'refuse',
         attemptId: request.attemptId,
         kind: 'no-capacity',
-        reason: `the work ahead of it takes about ${Math.round(waitMs)} ms and its own run up to ${Math.round(longMs)} ms, longer than its deadline allows`,
+        reason: `the requests ahead of it take about ${Math.round(waitMs)} ms and its own run up to ${Math.round(longMs)} ms, longer than its deadline allows`,
         retryAfterMs: clampRetryAfter(waitMs),
       },
     ];
--- a/src/systems/shouldHoldHomes.ts
+++ b/src/systems/shouldHoldHomes.ts
@@ -1,34 +1,34 @@
-/** What an instance can carry as the home of pools. */
+/** Capacity of an instance for holding the homes of pools. */
 export interface HomeCapacity {
-  /** Processor that the instance may use, in cores. */
+  /** Processor capacity that the instance may use, in cores. */
   readonly coreCount: number;
-  /** Speed of its network link, in megabits a second. */
+  /** Bandwidth of its network link, in megabits per second. */
   readonly linkMbps: number;
 }
 
-/** What {@link shouldHoldHomes} decides over. */
+/** Input of {@link shouldHoldHomes}. */
 export interface ShouldHoldHomesInput {
   readonly own: HomeCapacity;
-  /** Capacities of the other instances that hold partitions, or have told that they could. */
+  /** Capacities of the other instances that hold partitions, or have announced that they could. */
   readonly others: readonly HomeCapacity[];
-  /** Whether this instance holds partitions, or waits for some, at this moment. */
+  /** Whether this instance holds partitions now, or waits for some. */
   readonly isMember: boolean;
   /** Whether no home has answered for a while. */
   readonly areHomesSilent: boolean;
 }
 
-/** How much larger another instance has to be to be left the work. */
+/** Factor of processor capacity from which another instance counts as larger. */
 const LARGER_FACTOR = 2;
-/** Larger ones that have to hold partitions before a small one leaves: two may fail at once. */
+/** Larger instances that must hold partitions before a small one leaves: two may fail at once. */
 const LARGER_COUNT_TO_LEAVE = 3;
-/** Larger ones below which a small one comes back. */
+/** Larger instances below which a small one takes part again. */
 const LARGER_COUNT_TO_STAY_AWAY = 2;
 
 /**
- * Tells whether an instance can carry so much more than another that it is left the homes.
+ * Tells whether an instance is so much larger than another that the other leaves the homes to it.
  * @param instance - The instance.
- * @param other - The other one.
- * @returns Whether it has a multiple of the processor, and no slower a link.
+ * @param other - The other instance.
+ * @returns Whether it has {@link LARGER_FACTOR} times the processor capacity, and no slower a link.
  */
 export function isLarger(instance: HomeCapacity, other: HomeCapacity): boolean {
   return (
@@ -39,11 +39,12 @@
 /**
  * Decides whether an instance takes part in holding the homes of pools.
  *
- * Answers fleets of instances of different size: the platform shares partitions out evenly, so five
- * busy homes were held by instances with a link of 10 Mbit/s, whose targets' reports alone take
- * that in a rush, while instances with four times the processor and 20 times the link idled. A
- * small one leaves the work to larger ones as long as several hold partitions, and takes part again
- * once they are few or silent. Where all are alike, all take part.
+ * Guards against overloaded homes in fleets of instances of different size. The platform assigns
+ * partitions evenly: five busy homes were held by instances with a link of 10 Mbit/s, which their
+ * targets' reports alone fill under high load, while instances with four times the processor
+ * capacity and 20 times the bandwidth were idle. So a small instance leaves the homes to larger
+ * ones while several of these hold partitions, and takes part again when they are few or no home
+ * answers. If all instances are alike, all take part.
  * @param input - The instance, the others, and whether homes answer.
  * @returns Whether it should hold partitions.
  */
--- a/src/systems/vmStates.ts
+++ b/src/systems/vmStates.ts
@@ -5,7 +5,7 @@
  * @param tables - State of the VM's pool.
  * @param vm - Name of the VM.
  * @param nowMs - Monotonic time, in milliseconds.
- * @returns Whether the VM gets no work because of what failed on it.
+ * @returns Whether the VM gets no work because of earlier failures on it.
  */
 export function isQuarantined(tables: PoolTables, vm: string, nowMs: number): boolean {
   const untilMs = tables.health.get(vm)?.quarantinedUntilMs;
@@ -13,9 +13,9 @@
 }
 
 /**
- * Tells whether a VM is lost unplanned.
+ * Tells whether a VM is lost.
  * @param vm - The VM.
- * @returns Whether nobody ordered its absence.
+ * @returns Whether it is unreachable, absent or gone; an ordered drain is not a loss.
  */
 export function isLost(vm: PoolVmRow): boolean {
   return vm.condition === 'unreachable' || vm.condition === 'absent' || vm.state === 'gone';
--- a/tests/systems/fixtures.ts
+++ b/tests/systems/fixtures.ts
@@ -7,10 +7,10 @@
   type WaveStepRow,
 } from '../../src/tables/index.js';
 
-/** Pool that the fixtures belong to. */
+/** Name of the pool in the fixtures. */
 export const POOL = 'trentvale/wiki';
 
-/** Makes settings of a pool; the arguments replace the defaults of the fixtures. */
+/** Makes settings of a pool; the changes replace the fixture's defaults. */
 export function makeSettings(changes: Readonly<Record<string, unknown>> = {}): PoolSettings {
   return poolSchema.parse({
     neededSlotCount: 40,
@@ -31,7 +31,7 @@
   });
 }
 
-/** Makes a VM of a rack: `vm-<rack>-<index>`. */
+/** Makes a VM in a rack, named `vm-<rack>-<index>`. */
 export function makeVm(rack: number, index: number, changes: Partial<PoolVmRow> = {}): PoolVmRow {
   const vm = `vm-${String(rack).padStart(2, '0')}-${String(index).padStart(2, '0')}`;
   return {
@@ -52,7 +52,7 @@
   };
 }
 
-/** Makes a pool of racks with four VMs of four slots each. */
+/** Makes a pool whose racks have four VMs of four slots each. */
 export function makePool(rackCount: number, settings = makeSettings()): PoolTables {
   const tables = new PoolTables(POOL, settings);
   const places = Array.from({ length: rackCount * 4 }, (ignored, place) => place);
@@ -81,7 +81,7 @@
   });
 }
 
-/** Sets the state of steps of the wave. */
+/** Puts a step of the wave with the given state for each VM. */
 export function putSteps(
   tables: PoolTables,
   vms: readonly string[],
@@ -111,7 +111,7 @@
   };
 }
 
-/** Makes a grant of a run of the kind `save`. */
+/** Makes a grant for a run of the kind `save`. */
 export function makeGrant(grantId: string, vm: string, changes: Partial<GrantRow> = {}): GrantRow {
   const { attemptId, queuedAtMs, excludedVms, ...request } = makeRequest(grantId);
   return { ...request, grantId, vm, grantedAtMs: -60_000, ...changes };
--- a/tests/systems/invariants.test.ts
+++ b/tests/systems/invariants.test.ts
@@ -23,18 +23,18 @@
 
 const PARAMETERS = { seed: 20_261_202, numRuns: 60, verbose: 0 } as const;
 
-/** One thing that happens to a pool; `pick` selects what it happens to. */
+/** One event in a pool; `pick` selects the VM that it affects. */
 const event = fc.record({
   type: fc.constantFrom('lose', 'return', 'finish-step', 'fail-run', 'plan', 'plan'),
   pick: fc.nat(1_000),
 });
 
-/** Planned acts must leave the budget within: checks after each that the pool allowed. */
+/** Checks that the pool is within its budget, which every planned action has to preserve. */
 function expectBudget(tables: PoolTables, nowMs: number): void {
   expect(checkBudget(tables, { nowMs })).toMatchObject({ type: 'within' });
 }
 
-/** Plans steps and moves, applies them, and checks the budget after each that takes capacity. */
+/** Plans and applies steps and moves, and checks the budget after each that takes VMs out. */
 function planAndApply(tables: PoolTables, nowMs: number, spares: Map<string, PoolVmRow>): void {
   planWaveSteps(tables, { nowMs, minuteOfDay: 0 }).forEach((decision) => {
     if (decision.type !== 'start-step') return;
--- a/tests/systems/placeQueuedJobs.test.ts
+++ b/tests/systems/placeQueuedJobs.test.ts
@@ -4,12 +4,12 @@
 import { SeededRng } from '../../src/utils/index.js';
 import { changeVms, fillVm, makeGrant, makePool, makeRequest, makeSettings } from './fixtures.js';
 
-/** Runs the placement at a time. */
+/** Runs one placement round at a time. */
 function place(tables: PoolTables, nowMs = 0): readonly PlacementDecision[] {
   return placeQueuedJobs(tables, { nowMs, rng: new SeededRng(1) });
 }
 
-/** Queues requests with ids of a prefix. */
+/** Queues requests whose ids share a prefix. */
 function enqueue(
   tables: PoolTables,
   prefix: string,
@@ -26,7 +26,7 @@
   return decisions.flatMap((decision) => (decision.type === 'place' ? [decision.attemptId] : []));
 }
 
-/** Fills every slot of the pool except some on one VM. */
+/** Fills every slot of the pool except the given number on its first VM. */
 function fillPool(tables: PoolTables, freeCount: number, changes = {}): void {
   const [first, ...others] = tables.vms.list();
   fillVm(tables, first!.vm, first!.slotCount - freeCount, changes);
@@ -49,8 +49,8 @@
     expect(place(tables)).toMatchObject([{ type: 'place', vm: 'vm-00-03' }]);
   });
 
-  // Story: an operator drains a VM, and more jobs wait than the other VMs can take. The drained one
-  // stands empty beside them, and a job on it would be waited for by whoever wants to reboot it.
+  // Guards against jobs on a VM that an operator drains: more jobs wait than the other VMs can
+  // take, the draining VM is empty, and a job on it would delay its reboot.
   it('leaves a VM that drains or is unreachable empty, however many jobs wait', () => {
     const tables = makePool(1);
     changeVms(tables, ['vm-00-00'], { condition: 'draining' });
@@ -89,8 +89,8 @@
     expect(new Set(racks).size).toBe(4);
   });
 
-  // A committee's export needs more memory than any VM of the pool has. Its caller would wait
-  // until the deadline for an answer that is known now.
+  // Guards against callers that wait in vain: an export needs more memory than any VM of the pool
+  // has, and its caller would wait until the deadline for a refusal that is certain now.
   it('refuses at once what can never run, with the kind of the cause', () => {
     const tables = makePool(1, makeSettings({ quotas: { wiki: { slotCount: 9 } } }));
     enqueue(tables, 'large', 1, { memoryMb: 99_999 });
@@ -101,7 +101,7 @@
     expect(kinds).toEqual(['job-too-large', 'deadline-past', 'target-failed', 'quota-exceeded']);
   });
 
-  it('refuses at once what the work ahead keeps from its deadline', () => {
+  it('refuses at once requests that miss their deadline because of the work ahead', () => {
     const tables = makePool(1);
     fillPool(tables, 0);
     enqueue(tables, 'a', 160, { jobKind: 'index', deadlineMs: 20_000 });
@@ -110,8 +110,8 @@
     expect(refused[0]).toMatchObject({ kind: 'no-capacity', retryAfterMs: 40_313 });
   });
 
-  // The largest customer queues twenty times as much as all others together. Without shares the
-  // small team's saves would wait behind thousands of its jobs.
+  // Guards against starvation of small teams: one team queues twenty times as many jobs as all
+  // others together. Without shares a small team's saves would wait behind thousands of its jobs.
   it('shares free slots by weight, so that a large team cannot push out a small one', () => {
     const quotas = { '*': { slotCount: 100, queuedJobCount: 400 } };
     const tables = makePool(1, makeSettings({ quotas }));
@@ -122,7 +122,7 @@
     expect(ids.filter((id) => id.startsWith('small')).length).toBe(3);
   });
 
-  it('holds a team to its slots and refuses beyond its queue', () => {
+  it('limits a team to its slots and refuses requests beyond its queue limit', () => {
     const quotas = { '*': { slotCount: 2, queuedJobCount: 3 } };
     const tables = makePool(1, makeSettings({ quotas }));
     tables.grants.put(makeGrant('g', 'vm-00-00'));
@@ -131,9 +131,10 @@
     expect(types).toEqual(['refuse', 'refuse', 'place']);
   });
 
-  // Archiving starts at night and still runs when the editors come. Slots that overnight work may
-  // not take are free for the first saves; an aged overnight job still gets its turn.
-  it('keeps room for editors beside overnight work, and a turn for overnight work beside them', () => {
+  // Guards against saves that wait for overnight work, and against overnight work that starves.
+  // Archiving starts at night and still runs when editors start work. The headroom serves their
+  // first saves, and one aged overnight job still starts.
+  it('keeps slots free beside overnight work, and starts an aged overnight job beside normal work', () => {
     const tables = makePool(1);
     enqueue(tables, 'night', 30, { jobKind: 'archive', urgency: 'overnight', team: 'archive' });
     const startCount = (): number => {
@@ -147,8 +148,9 @@
     expect(ids.filter((id) => id.startsWith('day')).length).toBe(7);
   });
 
-  // A crew's urgent save meets a pool full of archiving. It must start within seconds; one run is
-  // checkpointed for it, and no further one while that checkpoint is under way.
+  // Guards against urgent jobs that wait for overnight runs, and against needless checkpoints. An
+  // urgent save finds the pool full of archiving and must start within seconds. One run is
+  // checkpointed for it, and no further one while that checkpoint is pending.
   it('checkpoints one overnight run for an urgent job that found no VM', () => {
     const tables = makePool(1);
     fillPool(tables, 0, { jobKind: 'archive', urgency: 'overnight', team: 'archive' });
@@ -160,7 +162,7 @@
     expect(tables.preemptions.size).toBe(0);
   });
 
-  it('throttles what cannot be checkpointed, and lets it go on afterwards', () => {
+  it('throttles a run that cannot be checkpointed, and restores its speed afterwards', () => {
     const tables = makePool(1);
     changeVms(tables, ['vm-00-00', 'vm-00-01', 'vm-00-02', 'vm-00-03'], { coreCount: 2 });
     fillPool(tables, 3, { jobKind: 'links', urgency: 'overnight' });
@@ -172,9 +174,9 @@
     expect(place(tables, 2)).toMatchObject([{ type: 'unthrottle', grantId: 'vm-00-00/0' }]);
   });
 
-  // A courier firm cancels everything and all slots come free in one instant. Starting the whole
-  // queue at that instant would overload each VM; the starts are spread over some moments instead.
-  it('does not start a stampede after a wave of cancellations', () => {
+  // Guards against overload by simultaneous starts: a team cancels all its jobs, and all slots come
+  // free at once. Starting the whole queue at once would overload each VM, so starts are spread.
+  it('limits simultaneous starts after many cancellations', () => {
     const tables = makePool(2);
     enqueue(tables, 'a', 32);
     const starts = [0, 40, 60, 100].map((nowMs) => {
--- a/tests/systems/planCapacity.test.ts
+++ b/tests/systems/planCapacity.test.ts
@@ -13,12 +13,12 @@
 
 const HOLD_MS = 600_000;
 
-/** VMs without a pool: four in each of some racks. */
+/** Makes unassigned VMs, four in each of the racks. */
 function makeSpares(racks: readonly number[]): readonly VmRow[] {
   return racks.flatMap((rack) => [10, 11, 12, 13].map((index) => makeVm(rack, index)));
 }
 
-/** Plans and applies the decisions; returns them in short. */
+/** Plans and applies the decisions; returns each as `type vm`. */
 function step(tables: PoolTables, nowMs: number, spares: readonly VmRow[]): readonly string[] {
   const decisions = planCapacity(tables, { nowMs, unassignedVms: spares });
   decisions.forEach(({ type, vm }) => {
@@ -45,8 +45,9 @@
     expect(step(tables, 0, spares).toSorted()).toEqual(['adopt vm-01-00', 'adopt vm-07-00']);
   });
 
-  // Every rack holds one VM, and one more is needed. Any single VM makes some rack the largest, so
-  // each alone gains nothing; a pool that judged them one by one would stay outside its budget.
+  // Guards against a pool that stays outside its budget. Every rack holds one VM, and one more is
+  // needed. Any single VM makes its rack the largest, so none gains anything alone; a pool that
+  // rates VMs one by one would adopt none.
   it('adopts two VMs where one alone would gain nothing, and none where no number helps', () => {
     const settings = makeSettings({ neededSlotCount: 16 });
     const tables = makePool(0, settings);
@@ -59,8 +60,8 @@
     expect(checkBudget(tables, { nowMs: 0 })).toEqual({ type: 'within', spareSlotCount: 0 });
   });
 
-  // The switch of a rack restarts and its VMs are unreachable for two seconds. Users would see
-  // VMs change pools for nothing, twice. A VM that stays away longer is replaced.
+  // Guards against needless moves: a rack's switch restarts, and its VMs are unreachable for two
+  // seconds. VMs would change pools twice for nothing. A VM that stays away longer is replaced.
   it('waits for a VM that is lost for a moment, and replaces it when it stays away', () => {
     const tables = makePool(4, makeSettings({ neededSlotCount: 48 }));
     const spares = makeSpares([9]);
@@ -69,8 +70,8 @@
     expect(step(tables, 7_000, spares).length).toBe(1);
   });
 
-  // The needed slots swing every few minutes. Each swing would move VMs out and back again; with
-  // the surplus held for a while, only the first rise moves any.
+  // Guards against flapping: the needed slots swing every few minutes, and each swing would move
+  // VMs out and back in. Since the surplus is held for a while, only the first rise moves VMs.
   it('does not flap when the demand swings', () => {
     const tables = makePool(4, makeSettings({ neededSlotCount: 48 }));
     const spares = makeSpares([8, 9]);
@@ -92,9 +93,9 @@
     expect(step(tables, 2 * HOLD_MS, [])).toEqual([]);
   });
 
-  // A pool that has exactly what it needs starts a wave. Without a VM to spare no step would ever
-  // be allowed, and the wave would still wait in the morning.
-  it('borrows for a wave, stays quiet during it, and gives back afterwards', () => {
+  // Guards against a wave that waits for ever: a pool with exactly its needed slots starts a wave.
+  // Without a spare VM no step would be allowed, and the wave would still wait in the morning.
+  it('borrows a VM for a wave, moves none during it, and returns one afterwards', () => {
     const settings = makeSettings({ neededSlotCount: 48, maintenance: { rollOutWeight: 0 } });
     const tables = makePool(4, settings);
     const spares = makeSpares([9]);
--- a/tests/systems/planWaveSteps.test.ts
+++ b/tests/systems/planWaveSteps.test.ts
@@ -6,7 +6,7 @@
 const RACK_0 = ['vm-00-00', 'vm-00-01', 'vm-00-02', 'vm-00-03'];
 const RACK_5 = ['vm-05-00', 'vm-05-01', 'vm-05-02', 'vm-05-03'];
 
-/** Plans at a time and returns the decisions in short: `start vm`, `wait` or `stop`. */
+/** Plans at a time and returns each decision as `start <vm>`, `wait` or `stop-wave`. */
 function plan(tables: PoolTables, nowMs = 0, minuteOfDay = 0): readonly string[] {
   return planWaveSteps(tables, { nowMs, minuteOfDay }).map((decision) =>
     decision.type === 'start-step' ? `start ${decision.vm}` : decision.type,
@@ -59,10 +59,10 @@
     expect([stepCountAt(0), stepCountAt(0.5), stepCountAt(1)]).toEqual([1, 4, 7]);
   });
 
-  // A rack loses power while a wave is at work elsewhere. Users would see the pool below its
-  // declared capacity if the wave went on, since the four lost VMs and the wave's own add up.
-  // The wave has to wait at once, and to go on when the rack is back.
-  it('waits while a lost rack eats the budget, and goes on afterwards', () => {
+  // Guards against a pool below its declared capacity: a rack loses power while a wave maintains
+  // VMs elsewhere, and the four lost VMs add to those in maintenance. The wave has to wait at once,
+  // and to continue when the rack is back.
+  it('waits while a lost rack uses up the budget, and continues afterwards', () => {
     const tables = makePool(5);
     startWave(tables);
     putSteps(tables, RACK_0.slice(0, 2), 'maintained');
@@ -74,8 +74,8 @@
     expect(plan(tables, 61_000)).toEqual(['start vm-00-02']);
   });
 
-  // New firmware breaks every VM that boots with it. The first VM never comes back; had the wave
-  // gone on, each further step would have taken one more VM away for good.
+  // Guards against a wave that breaks all VMs: new firmware breaks every VM that boots with it. The
+  // first VM never comes back, and each further step would lose one more VM for good.
   it('stops when the first VM fails to come back', () => {
     const tables = makePool(6);
     startWave(tables);
@@ -84,8 +84,9 @@
     expect(plan(tables)).toEqual(['stop-wave']);
   });
 
-  // A VM comes back from its reboot, its step counts as done, and minutes later it hangs. One
-  // after another follows. No step ever fails, so only the losses show what the wave has done.
+  // Guards against faults that show after the step: VMs come back from their reboot, their steps
+  // count as done, and minutes later one VM after another hangs. No step fails, so only the losses
+  // show that the wave is the cause.
   it('stops when maintained VMs are lost afterwards, once the loss has lasted', () => {
     const tables = makePool(8);
     startWave(tables);
@@ -95,9 +96,9 @@
     expect(plan(tables, 17_000)).toEqual(['stop-wave']);
   });
 
-  // The platform's list lags and drops a maintained VM for a moment, or a whole rack fails that
-  // holds maintained and untouched VMs alike. Neither is the wave's doing; a stop would leave the
-  // roll-out unfinished by morning.
+  // Guards against needless stops: the platform's list lags and drops a maintained VM for a moment,
+  // or a whole rack with maintained and other VMs fails. The wave causes neither, and a stop would
+  // leave the roll-out unfinished by morning.
   it('does not blame the wave for a lagging list or for a failed rack', () => {
     const tables = makePool(8);
     startWave(tables);
@@ -112,8 +113,9 @@
     expect(plan(tables, 60_000)).not.toContain('stop-wave');
   });
 
-  // All that a pool has in a rack is just maintained, and the rack fails. Seen from this pool the
-  // maintenance broke its VMs; the lost VMs of other pools in the rack tell that it did not.
+  // Guards against needless stops: a rack fails in which all VMs of the pool were just maintained.
+  // To this pool it looks as if the maintenance broke them; lost VMs of other pools in the rack
+  // show that it did not.
   it('does not blame the wave for a rack in which other pools lost VMs as well', () => {
     const tables = makePool(8);
     startWave(tables);
--- a/tests/systems/recordRun.test.ts
+++ b/tests/systems/recordRun.test.ts
@@ -9,7 +9,7 @@
 import { SeededRng } from '../../src/utils/index.js';
 import { makePool, makeRequest, makeSettings } from './fixtures.js';
 
-/** Records a failed attempt and returns the verdicts' types. */
+/** Records a failed attempt and returns the types of the verdicts. */
 function fail(
   tables: PoolTables,
   vm: string,
@@ -21,9 +21,9 @@
 }
 
 describe('recordRun', () => {
-  // One VM fails every job within milliseconds. It is always empty, so a placement by load sends
-  // it everything, and users see one save after another fail while the other VMs idle.
-  it('keeps a black hole from looking least loaded, and quarantines it', () => {
+  // Guards against a VM that fails every job within milliseconds. It is always empty, so placement
+  // by load alone sends it every job, and one save after another fails while other VMs are idle.
+  it('avoids a VM that fails every job although it is the least loaded, and quarantines it', () => {
     const tables = makePool(4);
     expect(fail(tables, 'vm-00-00', 'a')).toEqual([]);
     tables.queue.put(makeRequest('next'));
@@ -42,9 +42,9 @@
     expect(tables.health.size).toBe(0);
   });
 
-  // A broken page makes its export crash on every VM. Blaming the VMs would quarantine one after
-  // another and take the pool away from everybody else.
-  it('blames a job that fails on several VMs, and clears the VMs of it', () => {
+  // Guards against one broken job that empties the pool: a broken page makes its export crash on
+  // every VM. Blaming the VMs would quarantine one after another, and other jobs would have none.
+  it('blames a job that fails on several VMs, and removes its failures from the VMs', () => {
     const tables = makePool(2);
     fail(tables, 'vm-00-00', 'poison');
     fail(tables, 'vm-00-01', 'poison', { excludedVms: ['vm-00-00'] });
@@ -62,8 +62,8 @@
     expect([...verdicts, ...more]).toEqual([]);
   });
 
-  // The network in front of the pool breaks and every VM seems to fail everything. Quarantining
-  // all of them would turn a disturbance into an outage.
+  // Guards against an outage by quarantine: the network in front of the pool breaks, and every VM
+  // appears to fail all jobs. Quarantining all VMs would turn a disturbance into an outage.
   it('never quarantines more VMs than the budget allows', () => {
     const tables = makePool(5, makeSettings({ neededSlotCount: 56 }));
     const verdicts = tables.vms
--- a/tests/systems/shouldHoldHomes.test.ts
+++ b/tests/systems/shouldHoldHomes.test.ts
@@ -9,8 +9,9 @@
 }
 
 describe('shouldHoldHomes', () => {
-  // Jobs waited for 13 s for their first task though most processors idled: the busiest homes had
-  // fallen to instances with links of 10 Mbit/s, and their targets' reports did not fit through.
+  // Guards against slow starts: jobs waited 13 s for their first task although most processors were
+  // idle. The busiest homes were held by instances with links of 10 Mbit/s, which were too slow for
+  // the reports of their targets.
   it('leaves the homes to several larger instances', () => {
     expect(choose(SMALL, [LARGE, LARGE, LARGE, SMALL])).toBe(false);
     expect(choose(LARGE, [LARGE, LARGE, LARGE, SMALL])).toBe(true);
@@ -22,14 +23,14 @@
     expect(choose(SMALL, [], false)).toBe(true);
   });
 
-  it('comes back once larger ones are few, and not for the loss of one', () => {
+  it('takes part again once larger instances are few, not after the loss of one', () => {
     expect(choose(SMALL, [LARGE, LARGE], false)).toBe(false);
     expect(choose(SMALL, [LARGE], false)).toBe(true);
   });
 
-  // Every large instance lost power; the group still named them as owners, so that the small ones,
-  // which could have gone on, left all jobs to them.
-  it('comes back where no home answers, whoever is said to hold them', () => {
+  // Guards against homes without a live holder: every large instance loses power, but the group
+  // still lists them as owners. The small instances could take over, but leave all jobs to them.
+  it('takes part again when no home answers, whichever instances are listed as owners', () => {
     const others = [LARGE, LARGE, LARGE];
     expect(shouldHoldHomes({ own: SMALL, others, isMember: false, areHomesSilent: true })).toBe(
       true,
