--- a/src/systems/chooseVm.ts
+++ b/src/systems/chooseVm.ts
@@ -49,7 +49,7 @@
 }
 
 /**
- * Chooses the VM for a request. It must fit the learned size. The least loaded rack is preferred,
+ * Chooses the VM for a request. The learned size must fit on it. Less loaded racks are preferred,
  * so that the loss of a rack affects few jobs, and then the tightest fit, which keeps room for
  * large jobs.
  * @param options - Load of the pool, the request and its size.
--- a/src/systems/decisions.ts
+++ b/src/systems/decisions.ts
@@ -8,7 +8,7 @@
       readonly vm: string;
       /** Cores to reserve for the run. */
       readonly coreCount: number;
-      /** Memory to reserve for the run, in megabytes, learned from earlier runs of its kind. */
+      /** Memory to reserve for the run, in megabytes: the learned size of its kind. */
       readonly memoryMb: number;
       /** Why this VM was chosen, for the log line and `explain`. */
       readonly reason: string;
--- a/src/systems/refuseHopeless.ts
+++ b/src/systems/refuseHopeless.ts
@@ -100,7 +100,7 @@
   return undefined;
 }
 
-/** Refuses the youngest requests of teams that have more of them queued than their quota allows. */
+/** Refuses the youngest requests of teams with more queued requests than their quota allows. */
 function refuseOverfull(
   tables: PoolTables,
   requests: readonly QueuedRow[],
--- a/src/systems/shouldHoldHomes.ts
+++ b/src/systems/shouldHoldHomes.ts
@@ -28,7 +28,7 @@
  * Tells whether an instance is so much larger than another that the other leaves the homes to it.
  * @param instance - The instance.
  * @param other - The other instance.
- * @returns Whether it has {@link LARGER_FACTOR} times the processor capacity, and no slower a link.
+ * @returns Whether it has at least {@link LARGER_FACTOR} times the cores, and no slower a link.
  */
 export function isLarger(instance: HomeCapacity, other: HomeCapacity): boolean {
   return (
