--- a/src/taskHome/GroupMembership.ts
+++ b/src/taskHome/GroupMembership.ts
@@ -4,11 +4,11 @@
 import type { GroupPort } from '../store/index.js';
 import { AdaptiveTimeout, type Clock } from '../utils/index.js';
 
-/** How the members of the group of homes tell each other from dead ones. */
+/** Timing by which the group of homes detects failed members. */
 export interface GroupTiming {
-  /** Silence after which a member loses its partitions, in milliseconds. */
+  /** Time without a renewal after which a member loses its partitions, in milliseconds. */
   readonly ttlMs: number;
-  /** How often a membership is renewed, in milliseconds. */
+  /** Interval between renewals of a membership, in milliseconds. */
   readonly renewEveryMs: number;
   /** Shortest and longest wait for the answer to a renewal, in milliseconds. */
   readonly shortestWaitMs: number;
@@ -20,25 +20,25 @@
   readonly groups: GroupPort;
   readonly group: string;
   readonly topic: string;
-  /** Name of this member, from which others read its address. */
+  /** Name of this member, which contains its address. */
   readonly member: string;
   readonly groupTiming: GroupTiming;
   readonly clock: Clock;
   readonly events: EventLog;
-  /** Whether this instance is to hold partitions, given whether it does now. */
+  /** Whether this instance should hold partitions, given whether it is a member now. */
   readonly shouldHold: (isMember: boolean) => boolean;
-  /** Called after each renewal, which may have given or taken partitions. */
+  /** Called after each renewal, which may have added or removed partitions. */
   readonly onRenewed: () => void;
-  /** Called where this member gives all partitions up, before it tells the group. */
+  /** Called when this member gives up all partitions, before it leaves the group. */
   readonly onLeaving: (reason: string) => void;
 }
 
-/** Pause before a renewal that cannot wait for the next, in milliseconds: a few answers. */
+/** Pause before an early renewal, in milliseconds: a few round trips to the group. */
 const SHORT_PAUSE_MS = 60;
-/** Taken off the time to live where this member judges itself, against clocks that run apart. */
+/** Margin by which this member's own lease is shorter than the time to live, for clock drift. */
 const LEASE_MARGIN_MS = 200;
 
-/** This instance's place in the group that shares partitions out, and its lease on its share. */
+/** Membership of this instance in the group that assigns partitions, and the lease on its share. */
 export class GroupMembership {
   private readonly options: GroupMembershipOptions;
 
@@ -57,8 +57,8 @@
   private isMember = false;
 
   /**
-   * Prepares a membership; nothing is joined before the start.
-   * @param options - Group, timing and who hears of changes.
+   * Creates a membership, which joins the group only when it is started.
+   * @param options - Group, timing and callbacks.
    */
   constructor(options: GroupMembershipOptions) {
     this.options = options;
@@ -82,7 +82,7 @@
     void this.renewAll();
   }
 
-  /** Leaves the group for good, so that others take over at once. */
+  /** Stops renewals and leaves the group, so that other members take over at once. */
   async stop(): Promise<void> {
     this.isStopped = true;
     await this.leave('stopping');
@@ -91,14 +91,14 @@
   /**
    * Tells whether a partition is in this member's share.
    * @param partition - The partition.
-   * @returns Whether this member is to be its home, by the last renewal.
+   * @returns Whether the last renewal assigned the partition to this member.
    */
   holds(partition: number): boolean {
     return this.share.has(partition);
   }
 
   /**
-   * Tells whether nobody else can have been given the share by now.
+   * Tells whether the share certainly has not been assigned to other members.
    * @returns Whether the lease on the share holds at this moment.
    */
   isCertain(): boolean {
@@ -111,8 +111,8 @@
       const begunAtMs = this.options.clock.monotonicMs();
       // eslint-disable-next-line no-await-in-loop -- one renewal follows the other
       const isAnswered = await this.takePart();
-      // A partition changes hands only once its holder has joined with the new generation, and its
-      // next holder learns of it by joining again; until then it has no home.
+      // A partition is reassigned only once its holder has joined with the new generation, and its
+      // next holder learns of this by joining again; until then the partition has no home.
       const isChanging = generation !== this.generation;
       const pauseMs = isAnswered
         ? this.options.groupTiming.renewEveryMs
@@ -123,9 +123,10 @@
   }
 
   /**
-   * Guards against a member whose share goes to others for two answers that came late: a wait and a
-   * whole pause for each of them take most of the time that its membership lasts. One that is
-   * turned away at once waits as long as usual.
+   * Computes the pause after a failed renewal: the usual pause less the time already waited for the
+   * answer. With the whole pause, two late answers would take up most of the membership's time to
+   * live, and the share would go to others. A renewal that is rejected at once is followed by the
+   * usual pause.
    */
   private getPauseAfterLossMs(begunAtMs: number): number {
     const { clock, groupTiming } = this.options;
@@ -134,8 +135,8 @@
   }
 
   /**
-   * Stays in the group, or out of it where others are to hold the partitions.
-   * @returns Whether the group has answered a renewal, if there was one.
+   * Renews the membership, or leaves the group if others should hold the partitions.
+   * @returns Whether the group answered; true if no renewal was attempted.
    */
   private async takePart(): Promise<boolean> {
     if (this.options.shouldHold(this.isMember)) {
--- a/src/taskHome/HomeDirectory.ts
+++ b/src/taskHome/HomeDirectory.ts
@@ -16,28 +16,28 @@
   readonly events: EventLog;
 }
 
-/** Least time between two readings that calls ask for, in milliseconds: store calls are shared. */
+/** Minimum time between two reads that calls request, in milliseconds: store calls are shared. */
 const ASKED_GAP_MS = 150;
-/** Peers that are asked at once where the group does not answer: several may be cut off as well. */
+/** Peers queried concurrently if the group does not answer: several may be cut off as well. */
 const ASKED_PEER_COUNT = 3;
-/** Longest wait for the group before a peer is told what is known, in milliseconds. */
+/** Longest wait for the group before a peer's query is answered, in milliseconds. */
 const LOOK_WAIT_MS = 200;
-/** Longest wait for a peer's reply, in milliseconds: usually 5, and callers wait for this one. */
+/** Longest wait for a peer's reply, which callers wait for, in milliseconds; usually it takes 5. */
 const PEER_WAIT_MS = 400;
 
-/** How long a member counts that has told of itself, in milliseconds: some times of telling. */
+/** How long an announced member is known, in milliseconds: a few announcement intervals. */
 const ANNOUNCED_FOR_MS = 3_000;
 
 const MEMBER_PATTERN = /^([^@]+)@([^:]+):(\d+)\/([\d.]+),([\d.]+)$/;
 
-/** A member of the group, as its name tells. */
+/** A member of the group, as encoded in its name. */
 export interface GroupMember {
   readonly address: PeerAddress;
   readonly capacity: HomeCapacity;
 }
 
 /**
- * Names a member of the group so that others can reach it and know what it can carry.
+ * Formats the name of a group member, from which others read its address and capacity.
  * @param member - Address and capacity.
  * @returns The name.
  */
@@ -47,9 +47,9 @@
 }
 
 /**
- * Reads a member's name.
+ * Parses the name of a group member.
  * @param name - The name.
- * @returns Its address and capacity, or undefined where the name is not of this form.
+ * @returns Its address and capacity, or undefined if the name does not have this format.
  */
 export function parseMember(name: string): GroupMember | undefined {
   const match = MEMBER_PATTERN.exec(name);
@@ -61,7 +61,7 @@
   };
 }
 
-/** Owners of partitions, and when the group told them. */
+/** Owners of partitions, and when they were read from the group. */
 interface OwnersReading {
   readonly rows: readonly PartitionOwner[];
   /** By the monotonic clock. */
@@ -78,18 +78,18 @@
   return new Map(known);
 }
 
-/** Lists the members of a list once each; the last one of an instance stands. */
+/** Removes duplicate members; the last entry of each instance is kept. */
 function listOnce(members: readonly GroupMember[]): readonly GroupMember[] {
   return [...new Map(members.map((member) => [member.address.instance, member])).values()];
 }
 
 /**
- * Where the home of each partition is, as the platform's group tells it, or a peer that has heard
- * from the group since.
+ * Locates the home of each partition, according to the platform's group or to a peer that has read
+ * from the group more recently.
  *
- * Guards against entries that the store turns away while it serves others: a home that is replaced
- * meanwhile would be asked for as long as that lasts, which shows as `jobTurnedAway` by an instance
- * that does not decide for the pool. Peers that the store serves know the new one.
+ * The store may reject calls of some entries while it serves others. Without the peers, such an
+ * entry would call a replaced home for as long as that lasts, which shows as `jobTurnedAway` by an
+ * instance that does not decide for the pool. Peers that the store serves know the new home.
  */
 export class HomeDirectory {
   private readonly options: HomeDirectoryOptions;
@@ -98,16 +98,16 @@
 
   private latest = NOTHING_READ;
 
-  /** Members that have told of themselves, by instance, and until when they count. */
+  /** Members that have announced themselves, by instance, and when their announcements expire. */
   private readonly announced = new Map<
     string,
     { readonly member: GroupMember; readonly untilMs: number }
   >();
 
-  /** When the last reading ended, with or without an answer, by the monotonic clock. */
+  /** When the last read ended, with or without an answer, by the monotonic clock. */
   private triedAtMs = Number.NEGATIVE_INFINITY;
 
-  /** Place among the members of the peer that is asked next. */
+  /** Index of the peer that is queried next, among the other members. */
   private nextPeer = 0;
 
   private reading: Promise<void> | undefined;
@@ -117,8 +117,8 @@
   private readonly outage: OutageLog;
 
   /**
-   * Creates a directory that knows no home.
-   * @param options - The group.
+   * Creates an empty directory.
+   * @param options - Group, peers and this instance.
    */
   constructor(options: HomeDirectoryOptions) {
     this.options = options;
@@ -126,18 +126,18 @@
   }
 
   /**
-   * Gets the home of a partition as of the last reading.
+   * Gets the home of a partition as of the last read.
    * @param partition - Number of the partition.
-   * @returns Its address, or undefined where none is known.
+   * @returns Its address, or undefined if none is known.
    */
   get(partition: number): PeerAddress | undefined {
     return this.owners.get(partition)?.address;
   }
 
   /**
-   * Lists the members that hold none of some partitions, so that they have processor to spare.
-   * @param partitions - Numbers of the partitions that take work.
-   * @returns Their addresses, each once.
+   * Lists the members that hold none of the given partitions and therefore have spare CPU.
+   * @param partitions - Numbers of the partitions that cause work.
+   * @returns Their addresses, without duplicates.
    */
   listOthers(partitions: readonly number[]): readonly PeerAddress[] {
     const busy = new Set(
@@ -149,10 +149,10 @@
   }
 
   /**
-   * Lists the capacities of the members that hold partitions or have told of themselves, but for
+   * Lists the capacities of the members that hold partitions or have announced themselves, except
    * one.
-   * @param instance - The one that is left out.
-   * @returns The capacity of each other.
+   * @param instance - Id of the instance that is left out.
+   * @returns The capacities of the others.
    */
   listCapacities(instance: string): readonly HomeCapacity[] {
     return listOnce([...this.listAnnounced(), ...this.listMembers()])
@@ -160,7 +160,7 @@
       .map(({ capacity }) => capacity);
   }
 
-  /** Members that have told of themselves lately; the others are forgotten. */
+  /** Lists the announced members, after removing those whose announcements have expired. */
   private listAnnounced(): readonly GroupMember[] {
     const nowMs = this.options.clock.monotonicMs();
     [...this.announced]
@@ -170,8 +170,8 @@
   }
 
   /**
-   * Takes note of a member that has told of itself.
-   * @param name - Its name, as the group would tell it.
+   * Records a member that has announced itself. A name with another format is ignored.
+   * @param name - Its name in the group.
    */
   noteMember(name: string): void {
     const member = parseMember(name);
@@ -182,27 +182,32 @@
 
   /**
    * Lists the members that hold partitions.
-   * @returns Each once.
+   * @returns The members, without duplicates.
    */
   listMembers(): readonly GroupMember[] {
     return listOnce([...this.owners.values()]);
   }
 
   /**
-   * Tells a peer what this directory knows, after a look at the group. It asks no peers itself: two
-   * that the group does not answer would wait for each other.
-   * @returns The owners with the age of their reading; a refusal where there was none.
+   * Answers a peer's query for the owners, after reading the group if the last read is too old. It
+   * queries no peers itself: two instances without an answer from the group would wait for each
+   * other.
+   * @returns The owners with the age of their read; a refusal if none were read yet.
    */
   async tell(): Promise<PeerReply> {
     if (this.ageMs > ASKED_GAP_MS) await Promise.race([this.readGroup(), sleep(LOOK_WAIT_MS)]);
     const { rows, readAtMs } = this.latest;
     if (readAtMs === NOTHING_READ.readAtMs) {
-      return { type: 'refused', kind: 'home-unavailable', message: 'No owners were read yet.' };
+      return {
+        type: 'refused',
+        kind: 'home-unavailable',
+        message: 'No partition owners were read yet.',
+      };
     }
     return { type: 'homes', owners: rows, ageMs: this.ageMs };
   }
 
-  /** Reads the owners, unless that was done a moment ago; without an answer they stay. */
+  /** Reads the owners unless they were read recently; without an answer, the old ones are kept. */
   refresh(): Promise<void> {
     const { clock } = this.options;
     if (clock.monotonicMs() - this.triedAtMs < ASKED_GAP_MS) return Promise.resolve();
@@ -212,7 +217,7 @@
     return this.reading;
   }
 
-  /** Time since the group told the owners, to this instance or to a peer. */
+  /** Time since this instance or a peer read the owners from the group. */
   private get ageMs(): number {
     return this.options.clock.monotonicMs() - this.latest.readAtMs;
   }
@@ -222,7 +227,7 @@
     this.triedAtMs = this.options.clock.monotonicMs();
   }
 
-  /** Reads the owners from the group, once at a time; tells whether it has answered. */
+  /** Reads the owners from the group, one read at a time; returns whether the group answered. */
   private readGroup(): Promise<boolean> {
     this.readingGroup ??= this.listOwners().finally(() => {
       this.readingGroup = undefined;
@@ -249,7 +254,7 @@
     this.owners = parseOwners(reading.rows);
   }
 
-  /** Takes what peers have read later than this instance; each attempt asks other ones. */
+  /** Adopts owners that peers have read more recently; each attempt queries the next peers. */
   private async askPeers(): Promise<void> {
     const { instance } = this.options;
     const others = this.listMembers()
@@ -264,7 +269,7 @@
   private async askPeer(address: PeerAddress): Promise<void> {
     const { peers, clock } = this.options;
     const askedAtMs = clock.monotonicMs();
-    // A peer that does not reply says nothing; the connection to it logs its own failures.
+    // A peer that does not reply is ignored; the connection to it logs its own failures.
     const reply = await peers
       .call(address, { type: 'list-homes' }, PEER_WAIT_MS)
       .catch(() => undefined);
--- a/src/taskHome/JobGateway.ts
+++ b/src/taskHome/JobGateway.ts
@@ -14,7 +14,7 @@
   /** Id of this instance. */
   readonly instance: string;
   readonly peers: PeerPort;
-  /** Handles a request where this instance is the home. */
+  /** Handles a request for which this instance is the home. */
   readonly handleHere: (request: DurableJobRequest) => Promise<PeerReply>;
   readonly directory: HomeDirectory;
   readonly partitions: PoolPartitions;
@@ -22,42 +22,42 @@
   readonly metrics: Metrics;
 }
 
-/** Pause before a home is looked for again, in milliseconds: a home opens in about 50. */
+/** Pause before the next attempt to find a home, in milliseconds; a home opens in about 50. */
 const RETRY_PAUSE_MS = 100;
-/** Longest wait for one reply, in milliseconds: above a store at a hundredth of its speed. */
+/** Longest wait for one reply, in milliseconds; above the latency of a store at 1 % speed. */
 const CALL_WAIT_MS = 1_200;
-/** Longest search for a home: a takeover takes about 2.5 s, and callers are not kept for longer. */
+/** Longest search for a home: a takeover takes about 2.5 s, and callers do not wait longer. */
 const SEARCH_MS = 2_500;
 
-/** Time without a reply of any home, while some were asked, from which homes count as silent. */
+/** Time without a reply of any home, despite calls, after which homes count as silent. */
 const SILENT_AFTER_MS = 1_500;
 
-/** How long a drain lasts without another message, in milliseconds: ten looks at the fleet. */
+/** How long a drain lasts without another message, in milliseconds: ten checks of the fleet. */
 const DRAINED_FOR_MS = 3_000;
 
 const RETRYABLE: ReadonlySet<string> = new Set(['home-unavailable', 'peer-unavailable']);
 
-/** What became of one try at a home. */
+/** Outcome of one attempt to call a home. */
 type Try =
   | { readonly type: 'reply'; readonly reply: PeerReply }
   | { readonly type: 'again'; readonly error: RattanliftError };
 
-/** Takes durable jobs at their entry and passes them to the homes of their pools. */
+/** Forwards requests about durable jobs from their entry to the homes of their pools. */
 export class JobGateway {
   private readonly options: JobGatewayOptions;
 
-  /** Since when no home has replied to any call; undefined where the last call had a reply. */
+  /** Since when no home has replied to any call; undefined if the last call was replied to. */
   private silentSinceMs: number | undefined;
 
   /**
    * Creates a gateway.
-   * @param options - Where homes are found and how they are called.
+   * @param options - Directory of the homes, and the means to call them.
    */
   constructor(options: JobGatewayOptions) {
     this.options = options;
   }
 
-  /** Whether homes were asked for a while and none has replied. */
+  /** Whether calls to homes have had no reply for some time. */
   get areHomesSilent(): boolean {
     const { silentSinceMs } = this;
     if (silentSinceMs === undefined) return false;
@@ -65,10 +65,10 @@
   }
 
   /**
-   * Submits a job; a repeat is the same job.
+   * Submits a job. A repeated submission refers to the same job.
    * @param job - The job.
    * @returns Resolves once it is stored.
-   * @throws RattanliftError With an outcome of `not-run` only where it is certainly not stored.
+   * @throws RattanliftError With an outcome of `not-run` only if the job is certainly not stored.
    */
   async submit(job: DurableJobSpec): Promise<void> {
     const { pool } = job.terms;
@@ -79,8 +79,8 @@
    * Gets the state of a job.
    * @param pool - Pool of the job's queue.
    * @param jobId - Id of the job.
-   * @returns The state, or undefined where there certainly is no such job.
-   * @throws RattanliftError Where no home could tell.
+   * @returns The state, or undefined if the job certainly does not exist.
+   * @throws RattanliftError If no home could answer.
    */
   async getState(pool: string, jobId: string): Promise<DurableJobState | undefined> {
     const reply = await this.call({ type: 'get-durable-job', pool, jobId }, pool);
@@ -91,8 +91,8 @@
    * Cancels a job.
    * @param pool - Pool of the job's queue.
    * @param jobId - Id of the job.
-   * @returns Whether there is such a job.
-   * @throws RattanliftError Where no home took the cancel.
+   * @returns Whether the job exists.
+   * @throws RattanliftError If no home confirmed the cancellation.
    */
   async cancel(pool: string, jobId: string): Promise<boolean> {
     const reply = await this.call({ type: 'cancel-durable-job', pool, jobId }, pool);
@@ -100,11 +100,11 @@
   }
 
   /**
-   * Counts the jobs of a queue that have not begun.
+   * Counts the jobs of a queue that have not started.
    * @param pool - Pool of the queue.
    * @param queue - Name of the queue.
-   * @returns How many there are.
-   * @throws RattanliftError Where no home could tell.
+   * @returns The number of jobs.
+   * @throws RattanliftError If no home could answer.
    */
   async countPending(pool: string, queue: string): Promise<number> {
     const reply = await this.call({ type: 'count-pending-jobs', pool, queue }, pool);
@@ -112,12 +112,11 @@
   }
 
   /**
-   * Tells the home of a pool which targets get no new task and which are gone, and asks what the
-   * pool needs.
+   * Informs the home of a pool of drained and ended targets, and asks for the pool's demand.
    * @param pool - The pool.
-   * @param drainedTargets - Ids of the targets that get no new task.
-   * @param ended - Those whose lifetimes are over.
-   * @returns The demand, or undefined where no home answers at this moment.
+   * @param drainedTargets - Ids of the targets that get no new tasks.
+   * @param ended - The targets whose lifetimes are over.
+   * @returns The demand, or undefined if no home answers at this moment.
    */
   async syncPool(
     pool: string,
@@ -143,7 +142,7 @@
     });
   }
 
-  /** Asks the home of a pool, and the next one where a home is being replaced. */
+  /** Calls the home of a pool, and retries with the next home while a home is being replaced. */
   private async askHomes(request: DurableJobRequest, pool: string): Promise<PeerReply> {
     const { clock, directory } = this.options;
     const giveUpAtMs = clock.monotonicMs() + SEARCH_MS;
@@ -157,7 +156,7 @@
       last = await this.tryOnce(request, pool);
     }
     if (last.type === 'reply') return JobGateway.checkReply(last.reply, isInDoubt);
-    // "Not run" must be true: an earlier try without an answer may still have stored the job.
+    // `not-run` must be certain, but an earlier unanswered attempt may have stored the job.
     if (isInDoubt) throwError('outcome-unknown', 'No home has answered.', { cause: last.error });
     throw last.error;
   }
--- a/src/taskHome/JobTable.ts
+++ b/src/taskHome/JobTable.ts
@@ -18,28 +18,28 @@
 import { type Clock, SystemClock } from '../utils/index.js';
 import type { RunKey } from './RunKey.js';
 
-/** A task that is placed, by its job and its place there. */
+/** A placed task, identified by its job and its index in the job's tasks. */
 export interface PlacedTask {
   readonly row: DurableJobRow;
   readonly position: number;
 }
 
-/** A task with its job and its place there. */
+/** A task with its job and its index in the job's tasks. */
 export interface FoundTask extends PlacedTask {
   readonly task: TaskRow;
 }
 
 interface KeptEnd {
   readonly job: EndedJob;
-  /** Since when this home has known the end, by the monotonic clock. */
+  /** When this home learned of the end, by the monotonic clock. */
   readonly knownSinceMs: number;
 }
 
-/** The jobs of one home, and which of them differ from what is stored. */
+/** The jobs of one home. Tracks which jobs differ from their stored records. */
 export class JobTable {
   private readonly clock: Clock;
 
-  /** Jobs that are not finished, or have tasks on targets. */
+  /** Jobs that are not finished, or still have tasks on targets. */
   private readonly active = new Map<string, DurableJobRow>();
 
   private readonly ended = new Map<string, KeptEnd>();
@@ -50,8 +50,8 @@
   private readonly unstored = new Set<string>();
 
   /**
-   * Creates a table without jobs.
-   * @param clock - Tells for how long ends have been known.
+   * Creates an empty table.
+   * @param clock - Clock that measures how long ends have been known.
    */
   constructor(clock: Clock = new SystemClock()) {
     this.clock = clock;
@@ -60,16 +60,16 @@
   /**
    * Gets a job.
    * @param jobId - Id of the job.
-   * @returns The job, or undefined where there is none.
+   * @returns The job, or undefined if it is unknown.
    */
   get(jobId: string): KnownJob | undefined {
     return this.active.get(jobId) ?? this.ended.get(jobId)?.job;
   }
 
   /**
-   * Gets a job that is not finished, or has tasks on targets.
+   * Gets a job that is not finished, or still has tasks on targets.
    * @param jobId - Id of the job.
-   * @returns The job, or undefined where there is none or only its end is known.
+   * @returns The job, or undefined if it is unknown or only its end is known.
    */
   getActive(jobId: string): DurableJobRow | undefined {
     return this.active.get(jobId);
@@ -77,15 +77,15 @@
 
   /**
    * Lists the jobs.
-   * @returns A new array of the jobs, those that have ended first.
+   * @returns A new array of the jobs, ended jobs first.
    */
   list(): readonly KnownJob[] {
     return [...[...this.ended.values()].map(({ job }) => job), ...this.active.values()];
   }
 
   /**
-   * Lists the jobs that are not finished, or have tasks on targets. A round of placement walks
-   * these alone: finished jobs stay for minutes and soon are most of the table.
+   * Lists the jobs that are not finished, or still have tasks on targets. A placement round visits
+   * only these: finished jobs are kept for minutes and soon make up most of the table.
    * @returns A new array of the jobs.
    */
   listActive(): readonly DurableJobRow[] {
@@ -102,7 +102,7 @@
   }
 
   /**
-   * Takes a job as it is stored.
+   * Adds a job in its stored state.
    * @param row - The job.
    */
   restore(row: DurableJobRow): void {
@@ -113,7 +113,7 @@
   }
 
   /**
-   * Takes a job over of which only its end is stored.
+   * Adds a job of which only the end is stored.
    * @param ended - The end.
    */
   restoreEnded(ended: EndedJob): void {
@@ -122,12 +122,12 @@
   }
 
   /**
-   * Lists the jobs whose ends this home has known for long.
+   * Lists the jobs whose ends this home has known for at least a given time.
    *
-   * Guards against an accepted job that is denied: the time of day of two homes may be 40 minutes
-   * apart, and by a stored time of the end the next home would forget jobs as it opens, which shows
-   * as a question answered "no such job" right after a takeover. So each home counts anew.
-   * @param minMs - How long it is at least, in milliseconds.
+   * Each home measures this time from when it learned of the end. The wall clocks of two homes may
+   * differ by 40 minutes: with a stored end time, the next home would remove jobs as it opens and
+   * answer "no such job" for an accepted job right after a takeover.
+   * @param minMs - Minimum time, in milliseconds.
    * @returns Ids of the jobs.
    */
   listEndedFor(minMs: number): readonly string[] {
@@ -167,8 +167,8 @@
   }
 
   /**
-   * Takes the records of what has changed since the last call.
-   * @returns The records; the caller has to write them.
+   * Encodes the jobs that have changed since the last call, and clears the set of changes.
+   * @returns The records, which the caller must write.
    */
   takeChanges(): readonly KeyedRecord[] {
     const records = [...this.changed].flatMap((jobId) => this.encode(jobId));
@@ -178,9 +178,9 @@
   }
 
   /**
-   * Counts the jobs of a queue of which no task has been placed.
+   * Counts the jobs of a queue that have no placed task yet.
    * @param queue - Name of the queue.
-   * @returns How many there are.
+   * @returns The number of jobs.
    */
   countPending(queue: string): number {
     return this.listActive().filter(
@@ -189,9 +189,9 @@
   }
 
   /**
-   * Finds a task of a job that is not finished, or has tasks on targets.
+   * Finds a task of a job that is not finished, or still has tasks on targets.
    * @param taskName - Name of the task.
-   * @returns The task with its job and its place there; undefined where there is none.
+   * @returns The task with its job and its index there; undefined if there is none.
    */
   findTask(taskName: string): FoundTask | undefined {
     const name = parseTaskName(taskName);
@@ -205,7 +205,7 @@
   /**
    * Finds the task that a run belongs to.
    * @param key - The run.
-   * @returns Its job and its place there; undefined where the run is not the task's current one.
+   * @returns Its job and its index there; undefined if the run is not the task's current one.
    */
   findPlaced(key: RunKey): PlacedTask | undefined {
     const found = this.findTask(key.taskName);
@@ -217,14 +217,17 @@
   /**
    * Gets the step of a task.
    * @param taskName - Name of the task.
-   * @returns The step; undefined for a task of no known job.
+   * @returns The step; undefined if the task's job is unknown.
    */
   getStep(taskName: string): StepSpec | undefined {
     const name = parseTaskName(taskName);
     return name && this.getActive(name.jobId)?.spec.steps[name.step];
   }
 
-  /** The end of a job is written before its specification goes: a job with neither is forgotten. */
+  /**
+   * Encodes a job. Its end precedes the removal of its specification, since a job with neither
+   * record is forgotten.
+   */
   private encode(jobId: string): readonly KeyedRecord[] {
     const isStored = !this.unstored.has(jobId);
     const row = this.active.get(jobId);
--- a/src/taskHome/JobTelemetry.ts
+++ b/src/taskHome/JobTelemetry.ts
@@ -13,27 +13,27 @@
   readonly term: number;
 }
 
-/** What a placement was decided on. */
+/** Data on which a placement decision was based. */
 export interface PlacementBasis {
-  /** Processor of the target that was free before, in thousandths of a core. */
+  /** CPU that was free on the target before the placement, in thousandths of a core. */
   readonly freeCpuMillicores: number;
-  /** Age of the target's latest answer, in milliseconds; undefined where it never answered. */
+  /** Age of the target's latest answer, in milliseconds; undefined if it never answered. */
   readonly reportAgeMs: number | undefined;
 }
 
-/** How a run was lost with its target. */
+/** Details of a run that was lost with its target. */
 export interface RunLoss {
-  /** How the end of the target is known. */
+  /** How the loss of the target was detected. */
   readonly reason: string;
-  /** Whether its start was sent. */
+  /** Whether the start of the run was sent. */
   readonly isSent: boolean;
-  /** For how long the run is known to have worked, in milliseconds. */
+  /** How long the run is known to have been running, in milliseconds. */
   readonly survivedMs: number;
-  /** Runs that were lost with the target, this one among them. */
+  /** Number of runs that were lost with the target, including this one. */
   readonly runCount: number;
 }
 
-/** Log lines and measurements of the jobs of one home. */
+/** Writes log events and metrics about the jobs of one home. */
 export class JobTelemetry {
   private readonly options: JobTelemetryOptions;
 
@@ -41,17 +41,17 @@
 
   /**
    * Creates the telemetry of a home.
-   * @param options - Where lines and measurements go.
+   * @param options - Event log and metrics to write to.
    */
   constructor(options: JobTelemetryOptions) {
     this.options = options;
   }
 
   /**
-   * Tells of a task that was given to a target.
-   * @param row - Its job as it was before.
+   * Records that a task was placed on a target.
+   * @param row - Its job as it was before the placement.
    * @param key - The run.
-   * @param basis - What that was decided on.
+   * @param basis - Data on which the decision was based.
    */
   notePlaced({ spec, state }: DurableJobRow, key: RunKey, basis: PlacementBasis): void {
     const { events, metrics, clock, term } = this.options;
@@ -62,11 +62,11 @@
   }
 
   /**
-   * Tells of a run that is over.
+   * Records that a run has ended.
    * @param jobId - Id of the job.
    * @param key - The run.
    * @param end - How it ended.
-   * @param source - How that became known.
+   * @param source - How the home learned of the end.
    */
   noteEnded(
     jobId: string,
@@ -78,10 +78,10 @@
   }
 
   /**
-   * Tells of a run that was lost with its target; its end is told of as any other.
+   * Records that a run was lost with its target. Its end is recorded separately, like any other.
    * @param row - Its job.
    * @param key - The run.
-   * @param loss - How long the run is known to have worked there, and how its target was lost.
+   * @param loss - How long the run is known to have been running, and how its target was lost.
    */
   noteLost({ spec }: DurableJobRow, { taskName, run, targetId }: RunKey, loss: RunLoss): void {
     const { events, metrics, term } = this.options;
@@ -91,10 +91,10 @@
   }
 
   /**
-   * Tells of a task that is not started again, as it crashes the targets that start it.
+   * Records that a task is not started again because it crashes the targets that start it.
    * @param row - Its job.
    * @param key - Its last run.
-   * @param crash - How many targets it has crashed.
+   * @param crash - Number of targets that it has crashed.
    */
   noteGivenUp(
     { spec }: DurableJobRow,
@@ -108,7 +108,7 @@
   }
 
   /**
-   * Tells of a job that has its final state.
+   * Records that a job has reached its final state.
    * @param row - The job.
    */
   noteFinished({ spec, state }: DurableJobRow): void {
@@ -120,7 +120,7 @@
   }
 
   /**
-   * Tells of the load of a pool, and once when its tasks begin or cease to wait for room.
+   * Records the load of a pool, and logs once when its tasks begin or cease to wait for capacity.
    * @param demand - Load and demand of the pool.
    */
   noteDemand({ pool, targets, waitingCpuMillicores, jobCount }: PoolDemand): void {
--- a/src/taskHome/PartitionOpening.ts
+++ b/src/taskHome/PartitionOpening.ts
@@ -21,25 +21,25 @@
 
 /** Key under which a partition keeps the term of its home. */
 const TERM_KEY = 'term';
-/** Role under which homes append; the store fences earlier terms of the same role. */
+/** Producer name under which homes append; the store fences earlier terms of the same producer. */
 export const HOME_PRODUCER = 'home';
 const APPEND_TIMEOUT_MS = 1_000;
-/** A reading at the end of a partition is answered at once. */
+/** A read at the end of a partition returns at once. */
 const NO_WAIT_MS = 0;
-/** First numbers of appends are drawn below this: two openings share one once in a billion. */
+/** Exclusive limit of the random first append number: two openings collide once in a billion. */
 const FIRST_SEQUENCE_LIMIT = 2 ** 30;
 
 const termSchema = z.looseObject({ term: z.int().positive() });
 
-/** What a home takes over with its partition. */
+/** State that a home takes over with its partition. */
 export interface OpenedPartition {
   readonly term: number;
-  /** Number of the append that opened it; later ones follow. */
+  /** Number of the append that opened the partition; later appends continue from it. */
   readonly sequence: number;
   readonly jobs: readonly DurableJobRow[];
-  /** Jobs of which nothing runs any more. */
+  /** Finished jobs that have no tasks on targets. */
   readonly endedJobs: readonly EndedJob[];
-  /** All records of the partition, for what else is kept there. */
+  /** All records of the partition, including those that belong to no job. */
   readonly records: readonly KeyedRecord[];
 }
 
@@ -50,12 +50,12 @@
   readonly partition: number;
   /** Instance that becomes the home. */
   readonly instance: string;
-  /** Whether the partition still is to be opened here. */
+  /** Whether the partition is still to be opened on this instance. */
   readonly isWanted: () => boolean;
   readonly events: EventLog;
 }
 
-/** A job whose progress cannot be read begins anew: dropped, it would be lost to its caller. */
+/** Restores a job. One with unreadable progress starts over; otherwise its caller would lose it. */
 function restoreOrLog(
   spec: DurableJobSpec,
   progress: JobProgress | undefined,
@@ -70,10 +70,11 @@
 }
 
 /**
- * Joins the records of each job.
+ * Combines the records of each job.
  *
- * Guards against a job that begins anew after its end: the specification is dropped in an append
- * after the one that holds the end, and a home may open between the two. The end goes first.
+ * A stored end takes precedence over a specification. The specification is removed in a later
+ * append than the one that stores the end, and a home that opens between the two would otherwise
+ * start the ended job again.
  */
 function joinRecords(
   records: readonly JobRecord[],
@@ -100,19 +101,21 @@
 }
 
 /**
- * Becomes the home of a partition: reads its jobs and raises the term.
+ * Makes an instance the home of a partition: reads the partition's jobs and raises the term.
  *
- * The record of the new term is appended only where the partition still ends where it was read.
- * Otherwise an append of the earlier home could slip in between and be missed, and a task that it
- * placed would run a second time. From then on the store rejects the earlier home by its term.
+ * The record of the new term is appended only if the end offset of the partition has not moved
+ * since the read. Otherwise an append of the earlier home in between could be missed, and a task
+ * that it placed would run a second time. From then on the store rejects the earlier home by its
+ * term.
  *
- * The append has a number drawn at random. Two instances that read the partition at the same moment
- * would else open it in the same term under the same number: the store would take the second for a
- * repeat of the first, both would be its home, and records of either would pass for repeats.
+ * The number of the append is random. Two instances that read the partition at the same moment
+ * would otherwise open it in the same term under the same number. The store would treat the second
+ * append as a repeat of the first, both instances would be the home, and the records of each would
+ * count as repeats of the other's.
  *
- * What was read stays between attempts. Guards against a partition that nobody opens: on a narrow
- * link its pages take seconds, and an attempt that began anew after a lost page, or after an append
- * of the earlier home, would never come to its end.
+ * Records that were read are kept between attempts. On a slow link the pages of a partition take
+ * seconds, and an attempt that started over after a lost page, or after an append of the earlier
+ * home, would never complete: the partition would have no home.
  */
 export class PartitionOpening {
   private readonly options: PartitionOpeningOptions;
@@ -122,28 +125,29 @@
   private readonly follower: KeyedFollower;
 
   /**
-   * Creates an opening that has read nothing.
-   * @param options - The partition, and who opens it.
+   * Creates an opening that has read no records yet.
+   * @param options - The partition, and the instance that opens it.
    */
   constructor(options: PartitionOpeningOptions) {
     this.options = options;
     this.follower = new KeyedFollower({ ...options, onRecord: (record) => this.take(record) });
   }
 
-  /** Count of the records that have been read so far. */
+  /** Number of current records that have been read so far. */
   get recordCount(): number {
     return this.newest.size;
   }
 
   /**
-   * Reads what is missing, and raises the term.
-   * @returns Term and jobs, or undefined where something came between and it has to be tried again.
-   * @throws Error Where the store did not answer; the next attempt continues from here.
+   * Reads the missing records, and raises the term.
+   * @returns Term and jobs, or undefined if the partition is no longer wanted or the append was
+   * rejected; the caller decides on another attempt.
+   * @throws Error If the store did not answer; the next attempt continues from here.
    */
   async attempt(): Promise<OpenedPartition | undefined> {
     await this.follower.read(NO_WAIT_MS);
-    // Guards against an instance that lost the partition while it read: its higher term would fence
-    // the home that has opened meanwhile, and nobody would be the home after it.
+    // If this instance lost the partition while it was reading, its higher term would fence the
+    // home that has opened meanwhile, and the partition would have no home.
     if (!this.options.isWanted()) return undefined;
     const { store, topic, partition, instance } = this.options;
     const records = [...this.newest.values()];
--- a/src/taskHome/PlacementRounds.ts
+++ b/src/taskHome/PlacementRounds.ts
@@ -25,18 +25,18 @@
   readonly drains: TargetDrains;
   readonly mechanisms: Mechanisms;
   readonly metrics: Metrics;
-  /** Steady clock, by which ages go. */
+  /** Steady clock, by which ages are measured. */
   readonly clock: Clock;
-  /** Clock that tells which occurrences are due. */
+  /** Clock that determines which occurrences are due. */
   readonly dueClock: Clock;
 }
 
-/** Pause after a round, as a multiple of the time that it took: rounds take a quarter at most. */
+/** Pause after a round, as a multiple of its duration: rounds take at most 1/4 of the time. */
 const PAUSE_FACTOR = 3;
-/** Longest pause between two rounds, in milliseconds: that of looks at targets. */
+/** Longest pause between two rounds, in milliseconds: the interval of target checks. */
 const MAX_PAUSE_MS = 250;
 
-/** Rounds of placement: each gives waiting tasks to targets, stores that, and starts them. */
+/** Runs placement rounds: each places waiting tasks on targets, stores this, and starts them. */
 export class PlacementRounds {
   private readonly options: PlacementRoundsOptions;
 
@@ -48,31 +48,32 @@
   private nextAtMs = 0;
 
   /**
-   * Creates rounds of which none has run.
-   * @param options - Jobs, targets, and where placements are stored.
+   * Creates a scheduler of rounds; none has run yet.
+   * @param options - Jobs, targets, and the writer that stores placements.
    */
   constructor(options: PlacementRoundsOptions) {
     this.options = options;
   }
 
   /**
-   * Runs a round; calls until it begins share it.
+   * Runs a round; all calls before it begins share it.
    * @returns Resolves once all changes are stored.
-   * @throws RattanliftError Where this home has been replaced.
+   * @throws RattanliftError If this home has been replaced.
    */
   run(): Promise<void> {
     this.waiting ??= this.placeAndStore();
     return this.waiting;
   }
 
-  /** Ends the rounds; nothing more is placed or started. */
+  /** Ends the rounds; no more tasks are placed or started. */
   close(): void {
     this.isClosed = true;
   }
 
   private async placeAndStore(): Promise<void> {
     const { clock, metrics, runs, table, writer } = this.options;
-    // What is placed during an append is stored only after it: one round does for all that came.
+    // A placement made during an append is stored only after it, so one round after the append
+    // covers all requests that arrived meanwhile.
     await writer.whenIdle();
     await this.pause();
     this.waiting = undefined;
@@ -87,9 +88,10 @@
   }
 
   /**
-   * Guards against a home that falls further behind with each job that waits: every report asks for
-   * a round, rounds take longer the more waits, and on a slow processor they left no time to renew
-   * leases. It shows as `taskEnded` with `lapsed`, and as minutes without `taskPlaced`.
+   * Waits until the next round may begin, so that rounds leave time to renew leases. Every report
+   * requests a round, and a round takes longer the more jobs wait. On a slow processor, a home
+   * without this pause falls further behind with each waiting job: the log shows `taskEnded` with
+   * `lapsed`, and minutes without `taskPlaced`.
    */
   private async pause(): Promise<void> {
     const pauseMs = this.nextAtMs - this.options.clock.monotonicMs();
--- a/src/taskHome/PoolArrivals.ts
+++ b/src/taskHome/PoolArrivals.ts
@@ -1,24 +1,24 @@
 import { ArrivalRate } from '../systems/index.js';
 import type { Clock } from '../utils/index.js';
 
-/** The work that arrives for each pool of a home. */
+/** Tracks the rate at which work arrives for each pool of a home. */
 export class PoolArrivals {
   private readonly clock: Clock;
 
   private readonly rates = new Map<string, ArrivalRate>();
 
   /**
-   * Starts without arrivals.
-   * @param clock - Tells how old an arrival is.
+   * Creates a tracker without arrivals.
+   * @param clock - Clock that measures the age of arrivals.
    */
   constructor(clock: Clock) {
     this.clock = clock;
   }
 
   /**
-   * Gets the rate of a pool.
+   * Gets the arrival rate of a pool.
    * @param pool - Name of the pool.
-   * @returns Its rate, which begins empty.
+   * @returns Its rate, which has no arrivals at first.
    */
   get(pool: string): ArrivalRate {
     const known = this.rates.get(pool);
--- a/src/taskHome/PoolPartitions.ts
+++ b/src/taskHome/PoolPartitions.ts
@@ -4,23 +4,23 @@
 /** Options of {@link PoolPartitions}. */
 export interface PoolPartitionsOptions {
   readonly partitionCount: number;
-  /** Lists the pools of the configuration in force. */
+  /** Lists the pools of the current configuration. */
   readonly listPools: () => readonly string[];
 }
 
-/** Name under which the affairs of the whole fleet are kept, as if it were a pool. */
+/** Pseudo-pool name that determines the partition of fleet-wide records. */
 const FLEET = 'fleet';
 
 /**
- * Which partition keeps the jobs of which pool. The hash of the pool's name decides, so that every
- * instance and every configuration agree without asking.
+ * Maps each pool to the partition that keeps its jobs. The mapping is a hash of the pool's name, so
+ * that all instances and configurations agree on it without communication.
  */
 export class PoolPartitions {
   private readonly options: PoolPartitionsOptions;
 
   /**
    * Creates the mapping.
-   * @param options - Count of partitions and the pools.
+   * @param options - Number of partitions, and the pools.
    */
   constructor(options: PoolPartitionsOptions) {
     this.options = options;
@@ -36,8 +36,8 @@
   }
 
   /**
-   * Lists the partitions that keep a pool or the affairs of the whole fleet.
-   * @returns Their numbers, each once; none before there is a configuration.
+   * Lists the partitions that keep a pool or the fleet-wide records.
+   * @returns Their distinct numbers; none before there is a configuration.
    */
   listUsed(): readonly number[] {
     const pools = this.options.listPools();
@@ -46,17 +46,17 @@
   }
 
   /**
-   * Tells whether a partition keeps the affairs of the whole fleet.
+   * Tells whether a partition keeps the fleet-wide records.
    * @param partition - Number of the partition.
-   * @returns Whether its home is the home of the fleet.
+   * @returns Whether its home is also the fleet's home.
    */
   isOfFleet(partition: number): boolean {
     return partition === this.getPartition(FLEET);
   }
 
   /**
-   * Filters the targets whose pools a partition keeps. A target of a pool that no configuration
-   * names is none to use: its entry may come from another writer.
+   * Filters the targets whose pools a partition keeps. A target whose pool is not configured is
+   * left out, since another writer may have written its entry.
    * @param partition - Number of the partition.
    * @param entries - All targets.
    * @returns The targets of the partition.
--- a/src/taskHome/RecordWriter.ts
+++ b/src/taskHome/RecordWriter.ts
@@ -12,34 +12,34 @@
   readonly partition: number;
   readonly producer: string;
   readonly term: number;
-  /** Number of the latest append in this term, after which the writer goes on; 0 where absent. */
+  /** Number of the latest append in this term, after which the writer continues; 0 if absent. */
   readonly lastSequence?: number;
-  /** Most bytes of an append, in values; a larger record goes alone. */
+  /** Maximum size of an append, in bytes of record values; a larger record is appended alone. */
   readonly maxAppendBytes?: number | undefined;
   readonly clock: Clock;
   readonly events: EventLog;
-  /** Called once where another writer has taken the partition over. */
+  /** Called once when another writer has taken over the partition. */
   readonly onFenced: () => void;
 }
 
-/** Waits for one answer: usually 10 ms; a store at a hundredth of its speed answers in 0.4 s. */
+/** Waits for an answer, which usually takes 10 ms; a store at 1 % of its speed takes 0.4 s. */
 const APPEND_TIMEOUT = { shortestMs: 250, longestMs: 1_000 };
-/** Pause before an append is repeated: a few times the store's usual 10 ms. */
+/** Pause before an append is repeated: a few times the store's usual latency of 10 ms. */
 const RETRY_PAUSE_MS = 50;
-/** Time without an answer from which new work is turned away: the store is slow or away. */
+/** Time without an answer after which new jobs are refused: the store is slow or unavailable. */
 const STALLED_AFTER_MS = 500;
-/** Speed that a link is taken to have where nothing is said of it, in megabits a second. */
+/** Assumed speed of a link whose speed is not given, in megabits per second. */
 const USUAL_LINK_MBPS = 10;
 const DEFAULT_MAX_APPEND_BYTES = getMaxAppendBytes(USUAL_LINK_MBPS);
 
-/** A record with its place in the order of appends. */
+/** A record with its position in the order of appends. */
 interface NumberedRecord {
   readonly record: KeyedRecord;
   readonly number: number;
 }
 
 interface Waiter {
-  /** Number of the first record of the call; 0 where it has none and waits for those before. */
+  /** Number of the first record of the call; 0 if it has none and waits for earlier records. */
   readonly firstNumber: number;
   /** Number of the last record that has to be stored. */
   readonly lastNumber: number;
@@ -48,11 +48,11 @@
 }
 
 /**
- * Writes records of one partition in order, one append at a time; what comes meanwhile goes into
- * the next one together.
+ * Writes records of one partition in order, one append at a time. Records that are added during an
+ * append are batched into the next one.
  *
- * An append is repeated under the same number until it has an answer. The store answers a repeat
- * like the first, so that an answer that was lost neither doubles a record nor leaves it in doubt.
+ * An append is repeated under the same number until it is answered. The store answers a repeat like
+ * the first attempt, so a lost answer neither duplicates a record nor leaves its outcome unknown.
  */
 export class RecordWriter {
   private readonly options: RecordWriterOptions;
@@ -65,7 +65,7 @@
 
   private lastNumber = 0;
 
-  /** Number of the last record that was sent, whether or not that had an answer. */
+  /** Number of the last record that was sent, whether or not it was answered. */
   private lastSentNumber = 0;
 
   private waiters: readonly Waiter[] = [];
@@ -80,7 +80,7 @@
   private busySinceMs: number | undefined;
 
   /**
-   * Creates a writer whose term the store knows already, by the append that opened it.
+   * Creates a writer for a term that the store already knows from the append that opened it.
    * @param options - Partition, term and store.
    */
   constructor(options: RecordWriterOptions) {
@@ -88,7 +88,7 @@
     this.sequence = options.lastSequence ?? 0;
   }
 
-  /** Whether the store has left an append without an answer for a while. */
+  /** Whether the store has not answered the current append for some time. */
   get isStalled(): boolean {
     const { busySinceMs } = this;
     if (busySinceMs === undefined) return false;
@@ -96,15 +96,16 @@
   }
 
   /**
-   * Writes records; the latest one of a key stands.
+   * Writes records; the latest record of a key wins.
    *
-   * Without records it waits for those of earlier calls. Guards against an end that a target
-   * repeats while its record is still on the way: nothing is left to write, and taken as stored it
-   * would be acknowledged, forgotten by the target, and run again by the next home.
+   * A call without records waits for the records of earlier calls. Otherwise an end that a target
+   * repeats while its record is in flight would count as stored, since nothing is left to write:
+   * it would be acknowledged, the target would discard it, and the next home would run the task
+   * again.
    * @param records - The records.
-   * @returns Resolves once they, and all before them, are stored.
-   * @throws RattanliftError Of kind `home-unavailable` where none of them was ever sent, or
-   * `outcome-unknown` where the writer ended while some may be stored.
+   * @returns Resolves once these and all earlier records are stored.
+   * @throws RattanliftError Of kind `home-unavailable` if none of them was ever sent, or
+   * `outcome-unknown` if the writer was closed while some may be stored.
    */
   write(records: readonly KeyedRecord[]): Promise<void> {
     if (this.isClosed) return Promise.reject(this.createError('home-unavailable'));
@@ -120,17 +121,18 @@
 
   /**
    * Waits for the append in progress.
-   * @returns Resolves once it has ended, in whatever way; within this turn where there is none.
+   * @returns Resolves once it has succeeded or failed; within this turn if there is none.
    */
   whenIdle(): Promise<void> {
     return this.lastBatch.catch(() => undefined);
   }
 
   /**
-   * Ends the writer; records that were not sent are not written.
+   * Closes the writer; records that were not sent are not written.
    *
-   * Guards against "not run" for a job that is stored: the records of a call may be shared out over
-   * several appends, of which the first are stored while the last still wait.
+   * A call fails as `home-unavailable` only if none of its records was sent. Its records may be
+   * split over several appends, of which the first are stored while the last still wait; reporting
+   * "not run" would then be wrong for a job that is stored.
    */
   close(): void {
     this.isClosed = true;
@@ -143,7 +145,7 @@
     );
   }
 
-  /** Adds a record in the order of appends; one that waits under the same key keeps its place. */
+  /** Queues a record; it replaces a waiting record with the same key at that record's position. */
   private add(record: KeyedRecord): number {
     const known = this.pending.get(record.key);
     if (known === undefined) this.lastNumber += 1;
@@ -182,12 +184,12 @@
   }
 
   /**
-   * Takes the records of the next append, the oldest first.
+   * Takes the records of the next append, oldest first.
    *
-   * Guards against an append that no attempt ever carries to its end: what gathers while the store
-   * is away may have megabytes, an append has to be repeated as it was, and on a narrow link a
-   * whole one takes longer than the longest wait for an answer. It shows as `appendUnanswered`
-   * without end after the store is back.
+   * The size is limited so that an append completes within the longest wait for an answer.
+   * Megabytes of records may accumulate while the store is unavailable, and an append must be
+   * repeated unchanged. On a slow link, an append of all of them would time out on every attempt;
+   * the log would show `appendUnanswered` without end after the store is back.
    */
   private takeBatch(): readonly NumberedRecord[] {
     const { maxAppendBytes = DEFAULT_MAX_APPEND_BYTES } = this.options;
@@ -213,7 +215,7 @@
     if (isStored !== true) throw this.createError('outcome-unknown');
   }
 
-  /** Appends once; undefined means that the same append is to be repeated. */
+  /** Attempts the append once; undefined means that the same append must be repeated. */
   private async appendOnce(records: readonly KeyedRecord[]): Promise<boolean | undefined> {
     const { store, topic, partition, producer, term, clock, events } = this.options;
     const fence = { producer, term, sequence: this.sequence };
@@ -257,6 +259,6 @@
 
   private createError(kind: 'home-unavailable' | 'outcome-unknown'): RattanliftError {
     const { topic, partition } = this.options;
-    return new RattanliftError({ kind, message: `Writing ${topic} ${partition} has ended.` });
+    return new RattanliftError({ kind, message: `The writer of ${topic} ${partition} is closed.` });
   }
 }
--- a/src/taskHome/TaskHome.ts
+++ b/src/taskHome/TaskHome.ts
@@ -24,15 +24,15 @@
 import type { TaskHomeOptions } from './TaskHomeOptions.js';
 import { TaskRuns } from './TaskRuns.js';
 
-/** What the fleet's home tells and asks about a pool. */
+/** Parameters of a `sync-pool` request, which the fleet's home sends for each pool. */
 type PoolSync = Omit<Extract<DurableJobRequest, { readonly type: 'sync-pool' }>, 'type'>;
 
-/** Longest time for which a report waits for its ends to be stored before the lease is renewed. */
+/** Longest wait for the ends in a report to be stored before the lease is renewed. */
 const STORE_WAIT_MS = 400;
-/** Leases of an earlier home count as lapsed after their length, 2 % for clocks, and a margin. */
+/** Leases of an earlier home lapse after their length, 2 % for clock drift, and a margin. */
 const ADOPTED_LEASE_FACTOR = 1.1;
 
-/** The home of one partition: it alone decides for the jobs and targets of the pools in it. */
+/** The home of one partition, which alone schedules the jobs and targets of the pools in it. */
 export class TaskHome {
   private readonly options: TaskHomeOptions;
 
@@ -52,7 +52,7 @@
 
   private readonly rounds: PlacementRounds;
 
-  /** Tells what is due; ages go by the options' steady clock. */
+  /** Clock that determines which tasks are due; ages are measured by the options' steady clock. */
   private readonly wallClock: Clock;
 
   private readonly openedAtMs: number;
@@ -60,8 +60,8 @@
   private isClosed = false;
 
   /**
-   * Takes over the jobs of a partition; orders go out once targets have answered.
-   * @param options - Jobs as they are stored, the term, and the ports.
+   * Takes over the jobs of a partition; starts and stops are sent once targets have answered.
+   * @param options - Stored jobs, the term, and the ports.
    */
   constructor(options: TaskHomeOptions) {
     const { jobs, endedJobs } = options;
@@ -104,23 +104,23 @@
     });
   }
 
-  /** Term under which this home writes and orders. */
+  /** Term under which this home writes records and commands targets. */
   get term(): number {
     return this.options.term;
   }
 
   /**
-   * Accepts a job; a repeat of one that is known changes nothing.
+   * Accepts a job. A repeated submission changes nothing.
    * @param spec - The job.
    * @returns Resolves once the job is stored.
-   * @throws RattanliftError Of kind `home-unavailable` or `log-unavailable` where it was not
+   * @throws RattanliftError Of kind `home-unavailable` or `log-unavailable` if the job was not
    * stored and never will be, or `outcome-unknown`.
    */
   async submit(spec: DurableJobSpec): Promise<void> {
     const { jobId } = spec;
     if (this.isClosed) throwError('home-unavailable', 'This home is closed.');
     if (this.table.get(jobId) !== undefined) {
-      // The first one may still be on its way to the store; this write follows it.
+      // The first submission may not be stored yet; an empty write waits for it.
       await this.writer.write([]);
       return;
     }
@@ -139,8 +139,8 @@
   /**
    * Gets the state of a job.
    * @param jobId - Id of the job.
-   * @returns The state, or undefined where there certainly is no such job.
-   * @throws RattanliftError Of kind `home-unavailable` where this home cannot be sure.
+   * @returns The state, or undefined if the job certainly does not exist.
+   * @throws RattanliftError Of kind `home-unavailable` if another instance may be the home.
    */
   getState(jobId: string): DurableJobState | undefined {
     const state = this.table.get(jobId)?.state;
@@ -151,8 +151,9 @@
   /**
    * Cancels a job.
    * @param jobId - Id of the job.
-   * @returns Whether there is such a job; resolves once the cancel is stored.
-   * @throws RattanliftError Where the cancel could not be stored, or the home cannot be sure.
+   * @returns Whether the job exists; resolves once the cancellation is stored.
+   * @throws RattanliftError If the cancellation could not be stored, or another instance may be
+   * the home.
    */
   async cancel(jobId: string): Promise<boolean> {
     if (this.table.get(jobId) === undefined) {
@@ -170,10 +171,10 @@
   }
 
   /**
-   * Counts the jobs of a queue that have not begun.
+   * Counts the jobs of a queue that have not started.
    * @param queue - Name of the queue.
-   * @returns How many there are.
-   * @throws RattanliftError Of kind `home-unavailable` where this home cannot be sure.
+   * @returns The number of jobs.
+   * @throws RattanliftError Of kind `home-unavailable` if another instance may be the home.
    */
   countPending(queue: string): number {
     this.assertCertain();
@@ -181,18 +182,18 @@
   }
 
   /**
-   * Keeps new tasks off some targets for a while, empties them, and tells what the pool needs.
-   * @param request - The pool, its drained targets in place of those named before, and the targets
-   * whose lifetimes are over.
+   * Drains some targets for a limited time, and describes the load and demand of the pool.
+   * @param request - The pool, its drained targets, which replace those of the previous request,
+   * and the targets whose lifetimes are over.
    * @returns Load and demand of the pool.
-   * @throws RattanliftError Of kind `home-unavailable` where this home cannot be sure.
+   * @throws RattanliftError Of kind `home-unavailable` if another instance may be the home.
    */
   async syncPool({ pool, drainedTargets, drainedForMs, ...ended }: PoolSync): Promise<PoolDemand> {
     this.assertCertain();
     this.runs.loseEnded(ended);
     this.drains.replace(pool, drainedTargets, drainedForMs);
     this.runs.evacuate(this.listEmptied());
-    // What was placed before this call is counted below; nothing is placed there after it.
+    // Tasks placed on drained targets before this call are counted below; no more are placed there.
     await this.flush().catch(() => undefined);
     const { mechanisms } = this.options;
     const arrivals = this.arrivals.get(pool);
@@ -212,12 +213,12 @@
     return demand;
   }
 
-  /** Opens sessions with targets that are listed now. */
+  /** Opens sessions with newly listed targets. */
   meetTargets(): void {
     if (!this.isClosed) this.sessions.sync();
   }
 
-  /** Looks at targets, due tasks and what is to be stopped or forgotten; called each tick. */
+  /** Checks targets, places due tasks, stops runs and removes old jobs; called on each tick. */
   tick(): void {
     if (this.isClosed) return;
     this.sessions.sync();
@@ -229,16 +230,16 @@
   }
 
   /**
-   * Stores further records of the partition in this home's term.
+   * Stores other records of the partition in this home's term.
    * @param records - The records.
    * @returns Resolves once they are stored.
-   * @throws RattanliftError Where this home has been replaced.
+   * @throws RattanliftError If this home has been replaced.
    */
   store(records: readonly KeyedRecord[]): Promise<void> {
     return this.writer.write(records);
   }
 
-  /** Gives the partition up; nothing more is written or ordered. */
+  /** Gives up the partition; no more records are written and no more commands are sent. */
   close(): void {
     this.isClosed = true;
     this.rounds.close();
@@ -260,13 +261,13 @@
 
   private flushInBackground(): void {
     this.flush().catch((thrown: unknown) => {
-      // A writer that has ended has logged why; its jobs live on at the next home.
+      // A closed writer has logged the reason; the next home takes over the jobs.
       if (thrown instanceof RattanliftError) return;
       this.options.events.write('unexpectedError', { reason: String(thrown) });
     });
   }
 
-  /** Places what can be placed and stores all changes. */
+  /** Places ready tasks and stores all changes. */
   private flush(): Promise<void> {
     return this.rounds.run();
   }
@@ -281,20 +282,20 @@
       return;
     }
     const lastEndNumber = Math.max(...answer.ended.map(({ endNumber }) => endNumber));
-    // Ends are forgotten by the target only once they are stored; a store that is away must not
-    // keep the lease from being renewed.
+    // The target may discard ends only once they are stored, but an unavailable store must not
+    // prevent the lease from being renewed.
     const stored = this.flush()
       .then(() => this.sessions.acknowledge(targetId, lastEndNumber))
       .catch(() => undefined);
     await Promise.race([stored, sleep(STORE_WAIT_MS)]);
   }
 
-  /** Targets that are emptied: the fleet's home takes their VMs, or they have said to leave. */
+  /** Lists targets to evacuate: the fleet's home takes their VMs, or they announced their leave. */
   private listEmptied(): ReadonlySet<string> {
     return new Set([...this.drains.list(), ...this.sessions.listDraining()]);
   }
 
-  /** Frees the runs that an earlier home placed on targets that were gone before this one. */
+  /** Marks runs of an earlier home as lost whose targets were gone before this home opened. */
   private loseUnknownTargets(): void {
     const { clock, timing } = this.options;
     const leaseMs = timing.targetLeaseMs * ADOPTED_LEASE_FACTOR;
--- a/src/taskHome/TaskHomeOptions.ts
+++ b/src/taskHome/TaskHomeOptions.ts
@@ -8,7 +8,7 @@
 import type { TargetEntries } from './TargetEntry.js';
 import type { TaskHomeTiming } from './TaskHomeTiming.js';
 
-/** What a home of a partition takes over, and the ports that it works through. */
+/** State that the home of a partition takes over, and the ports that it uses. */
 export interface TaskHomeOptions {
   readonly store: KeyedLogPort;
   readonly targets: LeasedTargetPort;
@@ -18,7 +18,7 @@
   readonly term: number;
   /** Number of the append that opened the partition. */
   readonly lastSequence: number;
-  /** Most bytes of an append, in values; absent on a link of the usual speed. */
+  /** Maximum size of an append, in bytes of record values; absent on a link of default speed. */
   readonly maxAppendBytes?: number;
   readonly jobs: readonly DurableJobRow[];
   readonly endedJobs: readonly EndedJob[];
@@ -28,8 +28,8 @@
   readonly metrics: Metrics;
   readonly mechanisms: Mechanisms;
   readonly getEntries: () => TargetEntries;
-  /** Whether this instance certainly still is the home at this moment. */
+  /** Whether this instance is certain to be the home at this moment. */
   readonly isCertain: () => boolean;
-  /** Called once where another home has taken over. */
+  /** Called once when another home has taken over. */
   readonly onReplaced: () => void;
 }
--- a/src/taskHome/TaskHomeTiming.ts
+++ b/src/taskHome/TaskHomeTiming.ts
@@ -1,9 +1,9 @@
-/** Lengths of time that a home of tasks works with; the platform's bounds decide them. */
+/** Durations used by the home of a partition; the platform's limits determine them. */
 export interface TaskHomeTiming {
-  /** Lease that each renewal asks of a target, in milliseconds. */
+  /** Lease that each renewal requests from a target, in milliseconds. */
   readonly targetLeaseMs: number;
-  /** Longest time that a target holds a renewal back for an end, in milliseconds. */
+  /** Longest time for which a target delays its answer to wait for an end, in milliseconds. */
   readonly targetWaitMs: number;
-  /** How long the state of a finished job can be read, in milliseconds. */
+  /** How long the state of a finished job stays readable, in milliseconds. */
   readonly keepFinishedMs: number;
 }
--- a/src/taskHome/TaskHomes.ts
+++ b/src/taskHome/TaskHomes.ts
@@ -27,15 +27,15 @@
   readonly directory: TargetDirectory;
   readonly partitions: PoolPartitions;
   readonly homeTiming: TaskHomeTiming;
-  /** Most bytes of an append, in values. */
+  /** Maximum size of an append, in bytes of record values. */
   readonly maxAppendBytes: number;
   readonly metrics: Metrics;
   readonly mechanisms: Mechanisms;
-  /** Creates the home of the fleet, on the instance that is the home of its partition. */
+  /** Creates the fleet's home on the instance that is the home of the fleet's partition. */
   readonly createFleetHome: (basis: FleetHomeBasis) => FleetHome;
 }
 
-/** What the home of the fleet gets from the home of its partition. */
+/** State and callbacks that the fleet's home gets from the home of its partition. */
 export interface FleetHomeBasis {
   readonly term: number;
   readonly waveRecords: readonly WaveRecord[];
@@ -45,17 +45,18 @@
   readonly onReplaced: () => void;
 }
 
-/** How often homes look at their targets and due tasks, in milliseconds. */
+/** Interval at which homes check their targets and due tasks, in milliseconds. */
 const TICK_MS = 250;
 /**
- * How often the list of targets is read where there is a home, in milliseconds: a VM that joins in
- * the front of a rush gets its first task about 0.2 s sooner than at 400 ms and the next tick.
+ * Interval at which an instance with homes reads the list of targets, in milliseconds. A VM that
+ * joins at the start of a load peak gets its first task about 0.2 s sooner than with 400 ms and
+ * the next tick.
  */
 const DIRECTORY_EVERY_MS = 200;
-/** Pause before a partition is opened again, in milliseconds: a few answers of the store. */
+/** Pause before a partition is opened again, in milliseconds: a few round trips to the store. */
 const REOPEN_PAUSE_MS = 50;
 
-/** The homes that this instance holds, as the platform's group shares the partitions out. */
+/** The homes of the partitions that the platform's group assigns to this instance. */
 export class TaskHomes {
   private readonly options: TaskHomesOptions;
 
@@ -72,7 +73,7 @@
   private readonly timers: NodeJS.Timeout[] = [];
 
   /**
-   * Creates the homes of an instance that is no member yet.
+   * Creates an instance's set of homes, which is empty until the instance joins the group.
    * @param options - Store, group, targets and timing.
    */
   constructor(options: TaskHomesOptions) {
@@ -84,7 +85,7 @@
     });
   }
 
-  /** Joins the group and begins to hold homes. */
+  /** Joins the group and opens homes for the assigned partitions. */
   start(): void {
     this.membership.start();
     this.timers.push(
@@ -95,14 +96,14 @@
     );
   }
 
-  /** Gives every home up and leaves the group, so that others take over at once. */
+  /** Closes all homes and leaves the group, so that other members take over at once. */
   async stop(): Promise<void> {
     this.isStopped = true;
     this.timers.forEach((timer) => clearInterval(timer));
     await this.membership.stop();
   }
 
-  /** Whether this instance takes part for certain, with or without homes of its own. */
+  /** Whether the lease on the group membership holds, with or without homes on this instance. */
   get isMember(): boolean {
     return this.membership.isCertain();
   }
@@ -110,13 +111,13 @@
   /**
    * Gets the home of a pool.
    * @param pool - Name of the pool.
-   * @returns The home, or undefined where it is elsewhere or not open yet.
+   * @returns The home, or undefined if it is on another instance or not open yet.
    */
   get(pool: string): TaskHome | undefined {
     return this.homes.get(this.options.partitions.getPartition(pool));
   }
 
-  /** Meets new targets as soon as they are listed, not only at the next tick. */
+  /** Opens sessions with new targets as soon as they are listed instead of at the next tick. */
   private async refreshTargets(): Promise<void> {
     await this.options.directory.refresh();
     this.homes.forEach((home) => home.meetTargets());
@@ -126,7 +127,10 @@
     [...this.homes.keys()].forEach((partition) => this.close(partition, reason));
   }
 
-  /** Closes the homes that went to others before the next renewal confirms that, and opens new. */
+  /**
+   * Closes the homes of reassigned partitions, before the next renewal confirms the change to the
+   * group, and opens homes for new ones.
+   */
   private follow(): void {
     [...this.homes.keys()]
       .filter((partition) => !this.membership.holds(partition))
--- a/src/taskHome/announceMember.ts
+++ b/src/taskHome/announceMember.ts
@@ -2,24 +2,24 @@
 import { isLarger } from '../systems/index.js';
 import { formatMember, type GroupMember, type HomeDirectory } from './HomeDirectory.js';
 
-/** Longest wait for a reply, in milliseconds; the next telling comes a second later. */
+/** Longest wait for a reply, in milliseconds; the next announcement follows a second later. */
 const REPLY_WAIT_MS = 400;
 
-/** What {@link announceMember} works with. */
+/** Options of {@link announceMember}. */
 export interface AnnounceMemberOptions {
-  /** The instance that tells of itself. */
+  /** The instance that announces itself. */
   readonly member: GroupMember;
   readonly directory: HomeDirectory;
   readonly peers: PeerPort;
 }
 
 /**
- * Tells smaller instances that hold homes of a larger member that holds none.
+ * Announces a member that holds no home to the smaller instances that hold homes.
  *
- * Guards against homes that stay on small instances for good: only members that hold a partition
- * are seen, and where there are fewer partitions than members chance may show too few larger ones.
- * It shows as jobs that take 0.5 s and more to be accepted, and as rushes that are served late.
- * @param options - The member, and where homes are.
+ * Without announcements, homes may stay on small instances permanently: only members that hold a
+ * partition are visible, and with fewer partitions than members, too few larger ones may be among
+ * them by chance. Jobs then take 0.5 s and more to be accepted, and load peaks are served late.
+ * @param options - The member, and the directory of homes.
  */
 export async function announceMember(options: AnnounceMemberOptions): Promise<void> {
   const { member, directory, peers } = options;
@@ -27,7 +27,7 @@
   if (holders.some(({ address }) => address.instance === member.address.instance)) return;
   const request = { type: 'announce-member', member: formatMember(member) } as const;
   const smaller = holders.filter(({ capacity }) => isLarger(member.capacity, capacity));
-  // One that does not reply is told again; the connection to it logs its own failures.
+  // An instance that does not reply gets the next announcement; its connection logs failures.
   await Promise.allSettled(
     smaller.map(({ address }) => peers.call(address, request, REPLY_WAIT_MS)),
   );
--- a/src/taskHome/decodeReadable.ts
+++ b/src/taskHome/decodeReadable.ts
@@ -1,18 +1,18 @@
 import type { EventLog } from '../logging/index.js';
 import type { KeyedRecord } from '../store/index.js';
 
-/** Where records were read, and where the unreadable ones are told. */
+/** The partition that was read, and the log for unreadable records. */
 export interface ReadableOptions {
   readonly partition: number;
   readonly events: EventLog;
 }
 
 /**
- * Decodes the records of one kind. One that cannot be read is told and passed over: it must not
- * keep a partition without a home.
+ * Decodes the records of one kind. An unreadable record is logged and skipped, since it must not
+ * prevent a partition from having a home.
  * @param records - Records of any kind.
- * @param decode - Decodes one; undefined for one of another kind. It may throw.
- * @param options - Where the records were read.
+ * @param decode - Decodes a record; returns undefined for other kinds. It may throw.
+ * @param options - The partition of the records, and the event log.
  * @returns The values, in the order of their records.
  */
 export function decodeReadable<Value>(
--- a/src/taskHome/describeDemand.ts
+++ b/src/taskHome/describeDemand.ts
@@ -11,14 +11,14 @@
 } from '../systems/index.js';
 import { groupBy } from '../utils/index.js';
 
-/** What {@link describeDemand} looks at. */
+/** Input of {@link describeDemand}. */
 export interface DescribeDemandInput {
   readonly pool: string;
   readonly rows: readonly DurableJobRow[];
   readonly targets: readonly PlacementTarget[];
   readonly countRuns: (targetId: string) => number;
   readonly runTimes: RunTimes;
-  /** Processor that would keep up with what arrives, in thousandths of a core. */
+  /** CPU that is needed to keep up with arriving jobs, in thousandths of a core. */
   readonly arrivingCpuMillicores: number;
   readonly mechanisms: Mechanisms;
   /** Wall-clock time in milliseconds since the Unix epoch. */
@@ -43,7 +43,7 @@
 }
 
 /**
- * Describes what a pool carries and what waits for room in it.
+ * Describes the load of a pool and the work that waits for capacity in it.
  * @param input - Jobs and targets of the pool's home.
  * @returns Load and demand.
  */
--- a/src/taskHome/handleJobRequest.ts
+++ b/src/taskHome/handleJobRequest.ts
@@ -33,9 +33,9 @@
 
 /**
  * Handles a request about durable jobs at the home of their pool.
- * @param home - The home here; undefined where it is elsewhere.
+ * @param home - The home on this instance; undefined if the home is elsewhere.
  * @param request - The request.
- * @returns The reply; an error becomes a refusal of its kind.
+ * @returns The reply; an error is returned as a refusal of the same kind.
  */
 export async function handleJobRequest(
   home: TaskHome | undefined,
