--- a/tests/taskHome/GroupMembership.test.ts
+++ b/tests/taskHome/GroupMembership.test.ts
@@ -8,20 +8,20 @@
 } from '../../src/taskHome/GroupMembership.js';
 import { SystemClock } from '../../src/utils/index.js';
 
-/** Waits and pauses as daemons have them. */
+/** Timing as daemons use it. */
 const REAL_TIMING = { ttlMs: 1_500, renewEveryMs: 400, shortestWaitMs: 300, longestWaitMs: 1_000 };
 const GROUP_TIMING = { ttlMs: 1_000, renewEveryMs: 10, shortestWaitMs: 100, longestWaitMs: 200 };
 
-/** A group that gives every partition to the one member that a test has. */
+/** A group that assigns the same share to the only member of a test. */
 class FakeGroups implements GroupPort {
   share: GroupShare = { generation: 1, partitions: [0, 2] };
 
-  /** What was called, and what the member told, in its order. */
+  /** Calls to the group and reasons of `onLeaving`, in order. */
   readonly calls: string[] = [];
 
   private readonly held: (() => void)[] = [];
 
-  /** Answers wait from now on until they are let go. */
+  /** Whether answers are held back until they are released. */
   holdsAnswers = false;
 
   async join(): Promise<GroupShare> {
@@ -129,8 +129,8 @@
     expect(membership.holds(0)).toBe(false);
   });
 
-  // Guards against a busy home that loses its partition on a quiet day: one answer to its renewals
-  // was lost, the next took long, and the pause between them was as long as usual.
+  // Guards against a busy home that loses its partition under normal conditions: one answer to its
+  // renewals is lost, the next takes long, and the pause between them is as long as usual.
   it('keeps its share where one answer is lost and the next one comes late', async () => {
     const answersMs = [0, 0, Infinity, 350];
     const member = createMember({
@@ -157,7 +157,7 @@
     expect(certain).not.toContain(false);
   });
 
-  // Guards against a store that is asked again and again by every member that it turns away.
+  // Guards against members that repeat a rejected renewal without a pause and load the store.
   it('waits as usual where a renewal is turned away at once', async () => {
     const join = vi.fn(() => Promise.reject(new Error('The store turns this one away.')));
     const member = createMember({
--- a/tests/taskHome/HomeDirectory.test.ts
+++ b/tests/taskHome/HomeDirectory.test.ts
@@ -28,7 +28,7 @@
 }
 
 describe('HomeDirectory', () => {
-  // Guards against a small instance that leaves the homes to a larger one that is gone by now.
+  // Guards against a small instance that leaves the homes to a larger one that no longer exists.
   it('counts a member that has told of itself for a while only', () => {
     const clock = new ManualClock();
     const directory = new HomeDirectory({
--- a/tests/taskHome/HomeWorld.ts
+++ b/tests/taskHome/HomeWorld.ts
@@ -13,7 +13,7 @@
 const PARTITION = 0;
 const TICK_MS = 10;
 
-/** A step of one short task; a test changes what it is about. */
+/** Creates a step of one short task, with the changes that a test needs. */
 export function makeStep(changes: Partial<StepSpec> = {}): StepSpec {
   return {
     taskCount: 1,
@@ -40,7 +40,7 @@
   targetDurationMs: 600,
 };
 
-/** What the fleet's home tells the pool `pages` where nothing is drained or lost. */
+/** A `sync-pool` request for the pool `pages` without drained or lost targets. */
 export const QUIET_SYNC = {
   pool: 'pages',
   drainedTargets: [],
@@ -50,7 +50,7 @@
   lostWithRack: [],
 } as const;
 
-/** A job of the pool `pages`. */
+/** Creates a job of the pool `pages`. */
 export function makeJob(jobId: string, steps: readonly StepSpec[] = [makeStep()]): DurableJobSpec {
   return {
     jobId,
@@ -61,7 +61,7 @@
   };
 }
 
-/** A target of the pool `pages` with four cores. */
+/** Creates a target of the pool `pages` with four cores. */
 export function makeEntry(targetId: string, changes: Partial<TargetEntry> = {}): TargetEntry {
   return {
     targetId,
@@ -77,7 +77,7 @@
   };
 }
 
-/** A store, some targets, and the homes that a test opens over them. */
+/** Test fixture with a store, targets, and the homes that a test opens on them. */
 export class HomeWorld {
   readonly store = new StoreStandIn({ partitionCount: 4 });
 
@@ -92,10 +92,10 @@
   /** Length of the leases of targets, in milliseconds. */
   leaseMs = 60_000;
 
-  /** How long homes keep jobs that have ended, in milliseconds. */
+  /** How long homes keep ended jobs, in milliseconds. */
   keepFinishedMs = 60_000;
 
-  /** Whether the homes believe that they still are. */
+  /** Whether the homes are certain that they still are the home of their partition. */
   isCertain = true;
 
   private readonly homes: TaskHome[] = [];
@@ -111,7 +111,7 @@
     this.entries.set(entry.targetId, entry);
   }
 
-  /** Opens a home in the next term, as an instance that takes over would. */
+  /** Opens a home in the next term, as an instance does that takes over. */
   async open(clock: Clock = new SystemClock()): Promise<TaskHome> {
     const { store, targets, events } = this;
     const place = { store, topic: TOPIC, partition: PARTITION };
@@ -148,7 +148,7 @@
     return home;
   }
 
-  /** Ends a home as a kill would: nothing more of it happens. */
+  /** Ends a home like a kill of its process: it takes no further action. */
   kill(home: TaskHome): void {
     const place = this.homes.indexOf(home);
     clearInterval(this.timers[place]);
@@ -160,7 +160,7 @@
     this.homes.forEach((home) => home.close());
   }
 
-  /** Waits until tasks run. */
+  /** Waits until exactly the given tasks are running. */
   async waitForRunning(taskNames: readonly string[]): Promise<void> {
     await vi.waitFor(() => {
       const running = this.targets.listRunning().toSorted();
@@ -168,15 +168,15 @@
     });
   }
 
-  /** Counts the lines of a kind. */
+  /** Counts the logged events of a kind. */
   countEvents(event: string): number {
     return this.events.events.filter((kept) => kept.event === event).length;
   }
 }
 
 /**
- * Gives each test of a group a world of its own, and checks after it that no task ran twice.
- * @param take - Takes the world before the test.
+ * Creates a fixture before each test of a suite, and checks after it that no task ran twice.
+ * @param take - Receives the fixture before the test.
  */
 export function useHomeWorld(take: (world: HomeWorld) => void): void {
   let world: HomeWorld;
--- a/tests/taskHome/JobTable.test.ts
+++ b/tests/taskHome/JobTable.test.ts
@@ -3,26 +3,26 @@
 import { JobTable } from '../../src/taskHome/JobTable.js';
 import { makeJob } from './HomeWorld.js';
 
-/** Jobs of one pool that end within the 120 s for which callers may ask: 14.6 a second. */
+/** Jobs of one pool that end within the 120 s for which their state is kept: 14.6 per second. */
 const JOBS_KEPT = 1_752;
 const MANY_JOBS_KEPT = 5_000;
 const PAYLOAD_BYTES = 2_400;
-/** The store answers with values in base64. */
+/** The store encodes values in its answers in base64. */
 const BASE64_FACTOR = 4 / 3;
 const BITS = 8;
-/** 7 Mbit/s, the narrowest link of an instance at a site of some hundred VMs. */
+/** 7 Mbit/s, the slowest link of an instance at a site of some hundred VMs. */
 const LINK_BITS_PER_MS = 7_000;
-/** 2 Mbit/s, the narrowest of all. */
+/** 2 Mbit/s, the slowest link of all. */
 const NARROWEST_LINK_BITS_PER_MS = 2_000;
-/** A lease is to outlast a takeover. */
+/** A lease must outlast a takeover. */
 const TARGET_LEASE_MS = 5_000;
 
 const listIds = (table: JobTable): readonly string[] =>
   table.listActive().map(({ spec }) => spec.jobId);
 
 describe('JobTable', () => {
-  // In the second half of a busy day each round of placement took longer than an append: the table
-  // held 500 finished jobs, kept for callers who ask, and every round walked all of their tasks.
+  // Guards against placement rounds that take longer than an append: the table held 500 finished
+  // jobs, which are kept for callers who ask, and every round visited all of their tasks.
   it('lists a job as active until it is finished and its last task has left its target', () => {
     const table = new JobTable();
     const row = createJobRow(makeJob('j1'));
@@ -47,10 +47,10 @@
     expect(table.list()).toEqual([]);
   });
 
-  // Long-running services were down for 12 s after a loss of power: their pool had no home while an
-  // instance on a narrow link took 13.6 s to open its partition, and leases of 5 s lapsed. Nearly
-  // all that it read were specifications of jobs that had ended, kept whole for callers who ask for
-  // the state. Evidence: `taskHomeClosed` and `taskHomeOpened` of a partition of 600 jobs.
+  // Guards against long-running services that are down for 12 s after a power loss: their pool had
+  // no home while an instance on a slow link took 13.6 s to open a partition of 600 jobs, and
+  // leases of 5 s lapsed. Nearly all records were specifications of ended jobs, kept whole for
+  // callers who ask for the state. The log shows the gap from `taskHomeClosed` to `taskHomeOpened`.
   it.each([
     { jobCount: JOBS_KEPT, linkBitsPerMs: LINK_BITS_PER_MS },
     { jobCount: MANY_JOBS_KEPT, linkBitsPerMs: LINK_BITS_PER_MS },
--- a/tests/taskHome/PartitionOpening.test.ts
+++ b/tests/taskHome/PartitionOpening.test.ts
@@ -5,10 +5,10 @@
 
 const isWanted = () => true;
 
-// A settlement ran twice: two instances read a partition at the same moment, while the store was
-// slow, and both opened it in the same term. The store took the second append for a repeat of the
-// first, as both had the same number, and answered it like the first. Each then wrote what the
-// store took for repeats of the other's, so that ends were acknowledged and never stored.
+// Guards against a task that runs twice: two instances read a partition at the same moment, while
+// the store is slow, and both open it in the same term. If both appends have the same number, the
+// store treats the second as a repeat of the first and answers it alike. Later records of each
+// instance then count as repeats of the other's, so ends are acknowledged but never stored.
 it('lets one of two instances open a partition that have read it at the same moment', async () => {
   const store = new StoreStandIn({ partitionCount: 1 });
   const events = new MemoryEventLog();
@@ -27,9 +27,9 @@
   expect(next?.term).toBe(2);
 });
 
-// A pool had no home for as long as the earlier home worked on: reading its partition took longer
-// than the earlier home's pause between two appends, so that the end had moved at each attempt, and
-// each attempt read everything again.
+// Guards against a pool that has no home while the earlier home is still active: reading the
+// partition takes longer than the earlier home's pause between two appends, so its end offset has
+// moved at each attempt, and each attempt reads everything again.
 it('reads only what came between where the earlier home has written meanwhile', async () => {
   const store = new StoreStandIn({ partitionCount: 1 });
   const append = (key: string) =>
@@ -54,8 +54,9 @@
   expect(readNewest).toHaveBeenCalledOnce();
 });
 
-// A pool lost its home for seconds: the platform had given its partition to another instance while
-// a slow one was still reading it, and the slow one then raised the term over the home's.
+// Guards against a pool that loses its home for seconds: the platform assigns its partition to
+// another instance while a slow one is still reading it, and the slow one then raises the term
+// above that of the new home.
 it('raises no term once the partition has gone to another instance', async () => {
   const store = new StoreStandIn({ partitionCount: 1 });
   const append = vi.spyOn(store, 'append');
--- a/tests/taskHome/PlacementRounds.test.ts
+++ b/tests/taskHome/PlacementRounds.test.ts
@@ -10,18 +10,18 @@
 
 const ROUND_MS = 20;
 const WATCHED_MS = 600;
-/** Most of the time that rounds may take, so that the rest is left for leases and callers. */
+/** Largest share of the time that rounds may take; the rest is for leases and callers. */
 const MOST_SHARE = 0.25;
 
-/** Works without letting anything else run, as a round on a slow processor does. */
+/** Blocks the event loop, as a round on a slow processor does. */
 function work(forMs: number): void {
   const endsAtMs = performance.now() + forMs;
   while (performance.now() < endsAtMs);
 }
 
 describe('PlacementRounds', () => {
-  // Guards against a home whose rounds leave no time to renew leases: its tasks lapse, and it falls
-  // further behind with each job that waits.
+  // Guards against a home whose rounds leave no time to renew leases: its leases lapse, and it
+  // falls further behind with each waiting job.
   it('leaves most of the time to everything else where rounds take long', async () => {
     let roundCount = 0;
     const listActive = (): readonly never[] => {
--- a/tests/taskHome/PoolPartitions.test.ts
+++ b/tests/taskHome/PoolPartitions.test.ts
@@ -2,8 +2,9 @@
 import { PoolPartitions } from '../../src/taskHome/index.js';
 import { makeEntry } from './HomeWorld.js';
 
-// Another writer left an entry that named a service of its own. The home whose partition the hash
-// of that name fell to opened a session with it, and called an address that was not the platform's.
+// Guards against calls to addresses outside the platform: another writer adds an entry whose pool
+// is a service of its own, and the home of the partition that this name hashes to opens a session
+// with it.
 it('keeps targets out whose pool no configuration names', () => {
   const partitions = new PoolPartitions({ partitionCount: 1, listPools: () => ['pages'] });
   const entries = new Map([
--- a/tests/taskHome/RecordWriter.test.ts
+++ b/tests/taskHome/RecordWriter.test.ts
@@ -4,7 +4,7 @@
 import { SystemClock } from '../../src/utils/index.js';
 import { StoreStandIn } from '../../standins/store/index.js';
 
-/** What 10 Mbit/s carry in 0.2 s, a fifth of the longest wait for an answer. */
+/** Bytes that 10 Mbit/s carry in 0.2 s, a fifth of the longest wait for an answer. */
 const LARGEST_APPEND_BYTES = 250_000;
 
 /** Shortest wait for the answer of an append, in milliseconds. */
@@ -50,8 +50,8 @@
     expect((await store.readNewest('jobs', 0)).endOffset).toBe(1);
   });
 
-  // A home closed itself in the middle of a rush: it had waited for earlier writes by an append
-  // without records, which the store does not count, so its next number came out of sequence.
+  // Guards against a home that closes itself under load: it waits for earlier writes by an append
+  // without records, which the store does not count, so its next number is out of sequence.
   it('waits for earlier writes without an append of its own', async () => {
     const store = new StoreStandIn({ partitionCount: 1 });
     const writer = createWriter(store, 1);
@@ -86,9 +86,9 @@
     expect(records.map(({ key }) => key)).toEqual(['a', 'b']);
   });
 
-  // A home on a narrow link wrote nothing any more, though the store was back: during its absence
-  // 2 MB had gathered, which take 1.6 s on 10 Mbit/s. The append was given up after at most 1 s and
-  // repeated as a whole, for ever, as a repeat has to be the same append.
+  // Guards against a home on a slow link that cannot write after the store is back: during the
+  // outage 2 MB have accumulated, which take 1.6 s on 10 Mbit/s. The append times out after at most
+  // 1 s and is repeated as a whole without end, since a repeat must be the same append.
   it('writes what has gathered in appends that a narrow link carries in time', async () => {
     const store = new StoreStandIn({ partitionCount: 1 });
     const append = vi.spyOn(store, 'append');
@@ -107,8 +107,8 @@
     expect(stored).toHaveLength(1_000);
   });
 
-  // Guards against appends that are given up and repeated on a link of 2 Mbit/s: one that suits a
-  // link of 10 takes half a second there, and the first wait for an answer is a quarter.
+  // Guards against appends that time out and are repeated on a link of 2 Mbit/s: an append sized
+  // for 10 Mbit/s takes 0.5 s there, and the first wait for an answer is 0.25 s.
   it('writes smaller appends where its link is narrower', async () => {
     const store = new StoreStandIn({ partitionCount: 1 });
     const append = vi.spyOn(store, 'append');
@@ -128,8 +128,8 @@
     expect(longestMs).toBeLessThanOrEqual(SHORTEST_WAIT_MS / 2);
   });
 
-  // A caller was told that its job had not run, and it ran: 40 jobs had come together, went out in
-  // several appends, and the home was replaced between the first, which was stored, and the others.
+  // Guards against "not run" for a job that runs: 40 jobs that arrive together are split over
+  // several appends, and the home is replaced after the first append is stored.
   it('leaves the outcome of records open of which some were sent', async () => {
     const store = new StoreStandIn({ partitionCount: 1 });
     const writer = createWriter(store, 1);
--- a/tests/taskHome/TaskHome.test.ts
+++ b/tests/taskHome/TaskHome.test.ts
@@ -38,9 +38,9 @@
     expect(world.targets.begun).toHaveLength(1);
   });
 
-  // A page was saved twice: its task ended, the store was away, so the end was not stored, yet the
-  // home told the target to forget it when the target repeated it. The next home knew of no end
-  // and ran the task again. Cause: a report with nothing new to write passed for stored.
+  // Guards against a task that runs twice: it ends while the store is unavailable, so the end is
+  // not stored, but the home acknowledges the end when the target repeats it. The next home knows
+  // no end and runs the task again. Cause: a report with nothing new to write counted as stored.
   it('lets a target forget an end only once it is stored', async () => {
     const home = await world.open();
     await home.submit(makeJob('a'));
@@ -59,8 +59,8 @@
     expect(world.targets.begun).toHaveLength(1);
   });
 
-  // A task began on a target seconds after that had announced its leave, and was lost with it: its
-  // first start had no answer, the next report showed no run, and the start was repeated there.
+  // Guards against a task that begins on a target seconds after it announced its leave, and is lost
+  // with it: the first start is not answered, the next report shows no run, the start is repeated.
   it('does not repeat a start on a target that has announced its leave meanwhile', async () => {
     world.targets.setFaults('t2', { isCutOff: true });
     world.targets.setFaults('t1', { appliesStartsLate: true });
@@ -75,9 +75,9 @@
     expect(world.targets.begun.map(({ targetId }) => targetId)).toEqual(['t2']);
   });
 
-  // A task began on a target three seconds after that had announced its leave: it had been placed
-  // before, and its placement waited that long for a store that did not answer. Cause: once stored,
-  // the start went out whatever the target had announced since.
+  // Guards against a task that begins on a target three seconds after the target announced its
+  // leave: its earlier placement waited that long for a store that did not answer. Cause: once the
+  // placement was stored, the start was sent regardless of later announcements.
   it('does not start a task whose target has announced its leave while it was stored', async () => {
     world.targets.setFaults('t2', { isCutOff: true });
     const home = await world.open();
@@ -96,9 +96,9 @@
     expect(begun.map(({ targetId }) => targetId)).toEqual(['t2']);
   });
 
-  // A courier was sent twice: the home placed a task, its start got no answer, and the home was
-  // killed. The start took effect seconds later, when the next home had given the task to another
-  // target. Cause: an order without an answer was taken for one that did not happen.
+  // Guards against a task that runs twice: the home places it, the start is not answered, and the
+  // home is killed. The start takes effect seconds later, after the next home has placed the task
+  // on another target. Cause: an unanswered start counted as one that did not happen.
   it('does not run a task twice whose start takes effect after a change of homes', async () => {
     ['t1', 't2'].forEach((id) => world.targets.setFaults(id, { appliesStartsLate: true }));
     const home = await world.open();
@@ -114,8 +114,8 @@
     expect(world.targets.begun).toHaveLength(1);
   });
 
-  // A receipt was printed after its job had been cancelled: the start had got no answer, the job
-  // was cancelled, and seconds later the target carried the start out. Cause: only tasks that were
+  // Guards against a task that runs after its job was cancelled: the start is not answered, the job
+  // is cancelled, and seconds later the target carries out the start. Cause: only tasks that were
   // known to run were stopped.
   it('stops a cancelled task whose start takes effect later', async () => {
     ['t1', 't2'].forEach((id) => world.targets.setFaults(id, { appliesStartsLate: true }));
@@ -179,9 +179,9 @@
     expect(world.targets.begun).toHaveLength(1);
   });
 
-  // A service stood still for half a minute: its target had crashed, and the home went on to renew
-  // the lease. Each renewal without an answer might have been carried out, so the lease never was
-  // over for certain, and the tasks were not started elsewhere.
+  // Guards against a service that is down for half a minute: its target has crashed, and the home
+  // continues to renew the lease. Each unanswered renewal may have been carried out, so the lease
+  // is never certain to have lapsed, and the tasks are not started elsewhere.
   it('starts tasks elsewhere once the lease of a silent, unlisted target has lapsed', async () => {
     world.leaseMs = 300;
     const home = await world.open();
@@ -194,8 +194,8 @@
     expect(world.targets.begun[1]).toMatchObject({ taskName: 'a.0.0.0', run: 2 });
   });
 
-  // Every crash cost five seconds: the tasks of a target that had fallen silent waited until its
-  // lease had lapsed, while the platform's list showed at once that its lifetime was over.
+  // Guards against a delay of five seconds after every crash: tasks of a silent target wait until
+  // its lease has lapsed, although the platform's list shows at once that its lifetime is over.
   it('starts tasks elsewhere at once where the list of VMs ends a lifetime', async () => {
     const home = await world.open();
     await home.submit(makeJob('a'));
@@ -234,8 +234,8 @@
     expect(home.getState('a')).toBe('running');
   });
 
-  // A caller was told that its accepted job does not exist: it asked an instance that had lost its
-  // homes during a cut and did not know so. Cause: absence from the own table was taken for proof.
+  // Guards against denying an accepted job: the caller asks an instance that lost its homes during
+  // a network outage and does not know so. Cause: absence from its own table counted as proof.
   it('does not deny a job while it may have been replaced', async () => {
     const home = await world.open();
     expect(home.getState('b')).toBeUndefined();
@@ -245,8 +245,8 @@
     await expect(home.cancel('b')).rejects.toThrow('may not be the home');
   });
 
-  // In a rush a home spent its processor on rounds of placement, one for each of 300 reports a
-  // second, of which only the one before each append counted; answers to callers came late.
+  // Guards against late answers to callers under load: the home spends its CPU on placement rounds,
+  // one for each of 300 reports per second, but only the last before each append has an effect.
   it('places in one round what comes while an append is in progress', async () => {
     const home = await world.open();
     world.store.faults.rejects = true;
@@ -267,8 +267,8 @@
     await vi.waitFor(() => expect(home.getState('d')).toBe('running'));
   });
 
-  // On call looked for a task on a target that had never heard of it: a home that was replaced
-  // while it waited for the store had still told of a placement.
+  // Guards against a misleading log: a home that is replaced while it waits for the store still
+  // logs a placement, so operators search for a task on a target that never received it.
   it('places nothing once it is closed, also where it waited for the store', async () => {
     const home = await world.open();
     world.store.faults.rejects = true;
@@ -327,9 +327,9 @@
     expect(world.targets.get('t3').runningNames).toHaveLength(2);
   });
 
-  // A service lost two of its nodes at once: maintenance had stopped one, its target reported it
-  // for a moment more, and the second one was stopped meanwhile. Cause: a run that was being
-  // stopped counted as at work as long as reports listed it.
+  // Guards against a service that loses two of its tasks at once: maintenance stops one, its target
+  // reports it for a moment longer, and the second one is stopped meanwhile. Cause: a run that was
+  // being stopped counted as running as long as reports listed it.
   it('stops no second task of a step while the first one is still being stopped', async () => {
     const home = await world.open();
     const limits = { maxUnavailableCount: 1, maxTasksPerTarget: 1 };
--- a/tests/taskHome/endedJobs.test.ts
+++ b/tests/taskHome/endedJobs.test.ts
@@ -28,9 +28,9 @@
     return records.filter(({ value }) => value !== undefined).map(({ key }) => key);
   };
 
-  // A caller asks for the state of its job, or sends it once more, after the home has changed. Only
-  // the end of the job is stored by then, so the next home has to answer from that alone: taken for
-  // unknown, the job would be denied, or its repeat run a second time.
+  // A caller asks for the state of its job, or submits it again, after a change of homes. Only the
+  // end of the job is still stored, so the next home must answer from that alone. If it treated the
+  // job as unknown, it would deny the job or run a repeated submission a second time.
   it('are known to the next home, which runs a repeat of them no second time', async () => {
     const home = await world.open();
     await home.submit(makeJob('a'));
@@ -46,8 +46,8 @@
     expect(world.targets.begun).toHaveLength(1);
   });
 
-  // A task ran twice: the append with the end of its job was stored, the next one with the removal
-  // of the specification was not, and the home that opened then took the job for a new one.
+  // Guards against a task that runs twice: the append with the end of its job is stored, the next
+  // one with the removal of the specification is not, and the next home treats the job as new.
   it('do not begin anew where their specification is still stored', async () => {
     await store([encodeEndedJob(END), encodeJobSpec(makeJob('a'))]);
     const home = await world.open();
@@ -63,8 +63,8 @@
     expect(home.getState('a')).toBe('cancelled');
   });
 
-  // A record of an end that is cut names no state; the job is passed over with a line in the log,
-  // and the others of the partition get their home.
+  // A truncated record of an end contains no state. The job is skipped and logged, and the other
+  // jobs of the partition get their home.
   it('are passed over where their record cannot be read', async () => {
     const { key, value } = encodeEndedJob(END);
     await store([{ key, value: value!.subarray(0, 10) }, encodeJobSpec(makeJob('b'))]);
@@ -83,9 +83,9 @@
     expect(home.getState('a')).toBeUndefined();
   });
 
-  // A job that was shown as completed did not exist any more a second later. The time of day of its
-  // home had jumped ahead by 40 minutes before that home opened, and by it every end that an
-  // earlier home had stored was old enough to be forgotten.
+  // Guards against a job that is shown as completed and does not exist a second later: the wall
+  // clock of its home jumped ahead by 40 minutes before that home opened, which made every end that
+  // an earlier home had stored old enough to be forgotten.
   it.each([40, -40])('are kept by a home whose clock is %i minutes off', async (minutes) => {
     const row = cancelJob(createJobRow(makeJob('a')), Date.now());
     await store([encodeJobSpec(row.spec), encodeJobProgress(row)]);
