--- a/tests/taskHome/HomeDirectory.test.ts
+++ b/tests/taskHome/HomeDirectory.test.ts
@@ -29,7 +29,7 @@
 
 describe('HomeDirectory', () => {
   // Guards against a small instance that leaves the homes to a larger one that no longer exists.
-  it('counts a member that has told of itself for a while only', () => {
+  it('forgets a member some time after its announcement', () => {
     const clock = new ManualClock();
     const directory = new HomeDirectory({
       groups: { listOwners: async () => [] },
@@ -47,13 +47,13 @@
     expect(directory.listCapacities('asker')).toEqual([]);
   });
 
-  it('reads from a name what was written into it, and nothing from other names', () => {
+  it('parses the names that it formats, and rejects other names', () => {
     const member = makeMember('frontend-1-abc', 0.675);
     expect(parseMember(formatMember(member))).toEqual(member);
     expect(parseMember('someone-else')).toBeUndefined();
   });
 
-  it('lists the members without work, each once, and what the others can carry', async () => {
+  it('lists idle members without duplicates, and the capacities of others', async () => {
     const [busy, idle] = [makeMember('busy', 1), makeMember('idle', 2)];
     const directory = await makeDirectory([
       [0, formatMember(busy)],
@@ -67,7 +67,7 @@
     expect(directory.listCapacities('busy')).toEqual([idle.capacity]);
   });
 
-  it('takes from peers what they have read later, where the group does not answer', async () => {
+  it('adopts owners that peers have read later if the group does not answer', async () => {
     const clock = new ManualClock();
     const [earlier, later] = [makeMember('earlier', 1), makeMember('later', 1)];
     const owners = [{ partition: 0, member: formatMember(earlier) }];
--- a/tests/taskHome/JobTable.test.ts
+++ b/tests/taskHome/JobTable.test.ts
@@ -38,7 +38,7 @@
     expect(table.list()).toHaveLength(2);
   });
 
-  it('takes a stored job over as active only where something of it is left', () => {
+  it('restores a finished job without placed tasks as ended', () => {
     const table = new JobTable();
     const row = createJobRow(makeJob('j1'));
     table.restore(cancelJob(row, 1_000));
--- a/tests/taskHome/JobTelemetry.test.ts
+++ b/tests/taskHome/JobTelemetry.test.ts
@@ -25,7 +25,7 @@
 }
 
 describe('JobTelemetry', () => {
-  it('tells what a placement was decided on, and measures only the first of a job', () => {
+  it('logs the basis of each placement, and measures only the first of a job', () => {
     const { telemetry, events, metrics, clock, row } = createTelemetry();
     clock.advance(40);
     const key = { taskName: 'j1.0.0.0', run: 1, targetId: 't1' };
@@ -40,7 +40,7 @@
     expect(starts).toEqual([{ name: 'first_start_ms', value: 40, tags: { pool: 'pages' } }]);
   });
 
-  it('tells once that tasks wait and once that none does, however often it looks', () => {
+  it('logs once when tasks begin to wait and once when none waits any more', () => {
     const { telemetry, events } = createTelemetry();
     const waiting = { ...DEMAND, waitingCpuMillicores: 8_000 };
     telemetry.noteDemand(waiting);
--- a/tests/taskHome/PartitionOpening.test.ts
+++ b/tests/taskHome/PartitionOpening.test.ts
@@ -30,7 +30,7 @@
 // Guards against a pool that has no home while the earlier home is still active: reading the
 // partition takes longer than the earlier home's pause between two appends, so its end offset has
 // moved at each attempt, and each attempt reads everything again.
-it('reads only what came between where the earlier home has written meanwhile', async () => {
+it('reads only new records after an append of the earlier home', async () => {
   const store = new StoreStandIn({ partitionCount: 1 });
   const append = (key: string) =>
     store.append({
--- a/tests/taskHome/PoolPartitions.test.ts
+++ b/tests/taskHome/PoolPartitions.test.ts
@@ -5,7 +5,7 @@
 // Guards against calls to addresses outside the platform: another writer adds an entry whose pool
 // is a service of its own, and the home of the partition that this name hashes to opens a session
 // with it.
-it('keeps targets out whose pool no configuration names', () => {
+it('leaves out targets whose pool is not configured', () => {
   const partitions = new PoolPartitions({ partitionCount: 1, listPools: () => ['pages'] });
   const entries = new Map([
     ['t1', { ...makeEntry('t1'), pool: 'pages' }],
--- a/tests/taskHome/RecordWriter.test.ts
+++ b/tests/taskHome/RecordWriter.test.ts
@@ -130,7 +130,7 @@
 
   // Guards against "not run" for a job that runs: 40 jobs that arrive together are split over
   // several appends, and the home is replaced after the first append is stored.
-  it('leaves the outcome of records open of which some were sent', async () => {
+  it('reports an unknown outcome for a call of which some records were sent', async () => {
     const store = new StoreStandIn({ partitionCount: 1 });
     const writer = createWriter(store, 1);
     const makeRecords = (name: string) =>
--- a/tests/taskHome/decodeReadable.test.ts
+++ b/tests/taskHome/decodeReadable.test.ts
@@ -4,7 +4,7 @@
 
 const toRecord = (key: string) => ({ key, value: new Uint8Array() });
 
-it('passes over records of other kinds and, with a word, those that cannot be read', () => {
+it('skips records of other kinds, and logs and skips unreadable records', () => {
   const events = new MemoryEventLog();
   const decode = ({ key }: { readonly key: string }): string | undefined => {
     if (key === 'broken') throw new Error('No record.');
--- a/tests/taskHome/endedJobs.test.ts
+++ b/tests/taskHome/endedJobs.test.ts
@@ -56,7 +56,7 @@
     await world.waitForRunning(['b.0.0.0']);
   });
 
-  it('are taken over from records that keep them whole', async () => {
+  it('are taken over from records that still contain the whole job', async () => {
     const row = cancelJob(createJobRow(makeJob('a')), Date.now());
     await store([encodeJobSpec(row.spec), encodeJobProgress(row)]);
     const home = await world.open();
