--- a/src/taskHome/RelayedTargets.ts
+++ b/src/taskHome/RelayedTargets.ts
@@ -17,42 +17,47 @@
 
 /** Options of {@link RelayedTargets}. */
 export interface RelayedTargetsOptions {
-  /** The targets as this instance reaches them itself. */
+  /** Port through which this instance calls targets directly. */
   readonly targets: LeasedTargetPort;
   readonly peers: PeerPort;
-  /** Processor that this instance may use, in cores. */
+  /** CPU that this instance may use, in cores. */
   readonly coreCount: number;
-  /** Instances that may make calls for this one. */
+  /** Lists the instances that may relay calls for this one. */
   readonly listRelays: () => readonly PeerAddress[];
   readonly clock: Clock;
   readonly events: EventLog;
 }
 
 /**
- * Processor that calls to a target in a rush take, in cores: 25 starts and 20 looks a second of 0.3
- * ms each.
+ * CPU that the calls to one target take under peak load, in cores: 25 starts and 20 status calls a
+ * second at 0.3 ms each.
  */
 const CORES_PER_TARGET = 0.015;
-/** Share of its processor that an instance spends on calls to targets of its own. */
+/** Share of its CPU that an instance spends on direct calls to targets. */
 const OWN_CALLS_SHARE = 0.4;
-/** Most targets that an instance calls itself, whatever it can carry: a quarter of a core. */
+/**
+ * Maximum number of targets that an instance calls directly, however much CPU it has: their calls
+ * take a quarter of a core.
+ */
 const MAX_OWN_TARGET_COUNT = 16;
-/** Time after which a target that is not called any more frees its place, in ms: two leases. */
+/** Time without a call after which a target stops counting as a direct one, in ms: two leases. */
 const FORGET_AFTER_MS = 10_000;
-/** Longest wait for a relay's reply beyond the target's own, in ms: above an order's 1 s. */
+/**
+ * Timeout for a relay's reply on top of the target's own wait, in ms: above the 1 s of an order.
+ */
 const RELAY_WAIT_MS = 1_300;
-/** How often the relays are listed, in ms: the group that names them is read each second. */
+/** Interval for listing the relays, in ms; the group that names them is read every second. */
 const RELAYS_EVERY_MS = 500;
-/** How long a relay, or the relay of a target, is not used after a failure, in milliseconds. */
+/** Time after a failure in which a relay, or relaying to a target, is avoided, in milliseconds. */
 const AVOID_MS = 5_000;
 
 /**
- * Counts the targets that an instance calls itself.
+ * Computes how many targets an instance calls directly.
  *
- * Guards against a home on a tenth of a core that takes on as many as one on a whole core: the
- * calls alone are then twice its processor, and leases lapse that it cannot renew in time.
- * @param coreCount - Processor of the instance, in cores.
- * @returns How many; one at least.
+ * If a home on a tenth of a core called as many targets as one on a whole core, the calls alone
+ * would take twice its CPU, and leases would lapse because it cannot renew them in time.
+ * @param coreCount - CPU of the instance, in cores.
+ * @returns The number of targets; at least one.
  */
 export function countOwnTargets(coreCount: number): number {
   const affordableCount = Math.floor((OWN_CALLS_SHARE * coreCount) / CORES_PER_TARGET);
@@ -60,35 +65,38 @@
 }
 
 /**
- * Calls targets through other instances where there are many.
+ * Calls targets through other instances when there are more than this instance can call itself.
  *
- * Answers pools of 60 targets whose home runs on a third of a core: an HTTP call costs 0.3 ms, so
- * 1,600 starts a second are more than the core, and a home that falls behind loses its leases. The
- * home still decides alone; an instance that holds no home makes the calls in its name, with its
- * term. A call that is lost or late on the way is one without an answer, as the target's own may
- * be, so the guards against those hold here too.
+ * A pool of 60 targets whose home runs on a third of a core needs this: an HTTP call costs 0.3 ms,
+ * so 1,600 starts a second need more CPU than that, and a home that falls behind loses its leases.
+ * The home still makes every decision; an instance that holds no home makes the calls on its
+ * behalf, with its term. A call that is lost or delayed on the way counts as unanswered, as a
+ * direct call may be, so the same safeguards apply.
  */
 export class RelayedTargets implements LeasedTargetPort {
   private readonly options: RelayedTargetsOptions;
 
   private readonly ownTargetCount: number;
 
-  /** Targets that this instance calls itself, with the monotonic time of their last call. */
+  /** Targets that this instance calls directly, with the monotonic time of the last call. */
   private readonly own = new Map<string, number>();
 
-  /** Instances without a reply, and targets without an answer through a relay, until when. */
+  /**
+   * Relays that did not reply and targets that did not answer through a relay, with the monotonic
+   * time until which they are avoided.
+   */
   private readonly avoidedUntilMs = new Map<string, number>();
 
   private relays: readonly PeerAddress[] = [];
 
   private relaysListedAtMs = Number.NEGATIVE_INFINITY;
 
-  /** Relays of targets among the present ones. */
+  /** The relay assigned to each target, among the current relays. */
   private readonly relayOf = new Map<string, PeerAddress>();
 
   /**
-   * Creates a port that calls the first targets itself.
-   * @param options - The targets, and who may call them too.
+   * Creates a port that calls the first targets directly.
+   * @param options - The direct port, and the instances that may relay calls.
    */
   constructor(options: RelayedTargetsOptions) {
     this.options = options;
@@ -168,7 +176,7 @@
     return false;
   }
 
-  /** Finds who calls a target; undefined where this instance has to do it itself. */
+  /** Finds the relay of a target; undefined if this instance has to call the target directly. */
   private findRelay(targetId: string): PeerAddress | undefined {
     if (this.isAvoided(targetId)) return undefined;
     this.listRelays();
@@ -196,9 +204,9 @@
   }
 
   /**
-   * Guards against a relay that is gone or cut off: its targets would count as silent until the
-   * group has noticed, 2 to 3 s later, though this instance reaches them. After one failure it
-   * calls them itself.
+   * Calls a target through a relay; after one failure, this instance calls it directly for a while.
+   * Otherwise the targets of a relay that is gone or cut off would count as silent until the group
+   * notices, 2 to 3 s later, although this instance can reach them.
    */
   private async callThrough(
     relay: PeerAddress,
@@ -207,18 +215,18 @@
   ): Promise<TargetAnswer> {
     const { peers } = this.options;
     const targetWaitMs = call.type === 'renew' ? call.renewal.waitMs : 0;
-    // What is known of the target besides would be twice as long as the call itself.
+    // The other fields of the target would be twice as long as the call itself.
     const { targetId, host, port } = target;
     const request = { type: 'call-target', target: { targetId, host, port }, call } as const;
     try {
       const reply = await peers.call(relay, request, RELAY_WAIT_MS + targetWaitMs);
       if (reply.type === 'target-answer') return reply.answer;
-      const message = reply.type === 'refused' ? reply.message : `It replied ${reply.type}.`;
+      const message = reply.type === 'refused' ? reply.message : `The relay replied ${reply.type}.`;
       return throwError('target-silent', message);
     } catch (thrown) {
       const { kind, message: reason } = toRattanliftError(thrown);
       this.avoid(targetId);
-      // A relay that replies does its work; its target may just have left.
+      // A relay that replies is working; its target may just have left.
       if (kind !== 'target-silent') this.avoid(relay.instance);
       const fields = { relay: relay.instance, targetId, call: call.type, reason };
       this.options.events.write('relayFailed', fields);
--- a/src/taskHome/RunConfirmations.ts
+++ b/src/taskHome/RunConfirmations.ts
@@ -6,35 +6,37 @@
 /** Options of {@link RunConfirmations}. */
 export interface RunConfirmationsOptions extends TargetCalls {
   readonly find: (taskName: string) => OrderedRun | undefined;
-  /** Called where others may be placed beside the task now. */
+  /** Called once other tasks may be placed on the target of the confirmed task. */
   readonly onConfirmed: () => void;
 }
 
-/** Time from a start to its confirmation, in milliseconds: the first answer takes some of it. */
+/**
+ * Time from a start to its confirmation, in milliseconds; includes a margin for the first answer.
+ */
 const CONFIRM_AFTER_MS = PROVEN_MS + 50;
 
 /**
- * Learns soon whether targets have borne the tasks that may have crashed others.
+ * Checks early whether a target has survived the start of a task that may have crashed others.
  *
- * Guards against a target that is kept for one task for a second or more, until its next report,
- * and against a crash by chance that falls into that time and is taken for the task's doing.
+ * Otherwise the target would be reserved for the task until its next report, for a second or more,
+ * and an unrelated crash in that time would be attributed to the task.
  */
 export class RunConfirmations {
   private readonly options: RunConfirmationsOptions;
 
   /**
-   * Confirms nothing yet.
-   * @param options - The port to targets, and what is known of runs.
+   * Starts without pending confirmations.
+   * @param options - The port to targets, and access to the ordered runs.
    */
   constructor(options: RunConfirmationsOptions) {
     this.options = options;
   }
 
   /**
-   * Sends the start of a run again a little later: that changes nothing where it has begun, and the
-   * answer shows that the target has borne it until then.
+   * Sends the start of a run again after a short delay. A repeated start has no effect on a run
+   * that has begun, and the answer shows that the target has survived until then.
    * @param taskName - Name of the task.
-   * @returns Resolves once there is an answer, or none came.
+   * @returns Resolves once the target has answered or the call has failed.
    */
   async confirmSoon(taskName: string): Promise<void> {
     const { find, onConfirmed } = this.options;
--- a/src/taskHome/RunKey.ts
+++ b/src/taskHome/RunKey.ts
@@ -1,4 +1,4 @@
-/** One run of a task on a target. */
+/** Identifies one run of a task on a target. */
 export interface RunKey {
   readonly taskName: string;
   readonly run: number;
--- a/src/taskHome/RunLosses.ts
+++ b/src/taskHome/RunLosses.ts
@@ -11,7 +11,7 @@
 export interface RunLossesOptions {
   readonly table: JobTable;
   readonly orders: Pick<TaskOrders, 'find' | 'listOn'>;
-  /** Sessions with the targets, which are created after the runs. */
+  /** Gets the sessions with the targets, which are created after the runs. */
   readonly getSessions: () => Pick<
     TargetSessions,
     'getAnsweredAtMs' | 'hasJustStarted' | 'isDraining'
@@ -20,13 +20,13 @@
   readonly clock: Clock;
 }
 
-/** What a crash says of the task of a run. */
+/** What the crash of a target implies for the task of a lost run. */
 export interface RunBlame {
   readonly run: OrderedRun;
   readonly crash: TaskCrash;
 }
 
-/** A run that was lost, and for how long its target is known to have borne it. */
+/** A lost run, and how long its target is known to have survived it. */
 interface LostRun {
   readonly run: OrderedRun;
   readonly survivedMs: number;
@@ -34,19 +34,19 @@
 
 interface Loss {
   readonly runs: readonly LostRun[];
-  /** Whether the target had started a short while before. */
+  /** Whether the target had started shortly before. */
   readonly hasJustStarted: boolean;
-  /** Monotonic time from which on it says nothing any more. */
+  /** Monotonic time at which the record expires. */
   readonly forgottenAtMs: number;
 }
 
 /**
- * Time for which a loss is remembered whose cause is not known, in milliseconds: the list of VMs
- * shows a crash for 10 s.
+ * Time for which a loss of unknown cause is kept, in milliseconds; the list of VMs shows a crash
+ * for 10 s.
  */
 const REMEMBERED_MS = 15_000;
 
-/** Decides what the loss of a target says of the tasks that were on it. */
+/** Records lost targets, and attributes their crashes to the tasks that ran on them. */
 export class RunLosses {
   private readonly options: RunLossesOptions;
 
@@ -54,15 +54,15 @@
   private readonly losses = new Map<string, Loss>();
 
   /**
-   * Knows of no loss.
-   * @param options - Jobs, runs, and what targets have answered.
+   * Starts without losses.
+   * @param options - Jobs, runs, and the sessions with the targets.
    */
   constructor(options: RunLossesOptions) {
     this.options = options;
   }
 
   /**
-   * Tells whether a target has borne a run for long enough that its start does not crash it.
+   * Tells whether a target has survived a run long enough to show that its start does not crash it.
    * @param taskName - Name of the task.
    * @param targetId - The target.
    * @returns Whether it has.
@@ -73,11 +73,12 @@
   }
 
   /**
-   * Takes note of the loss of a target whose session is still open.
+   * Records the loss of a target whose session is still open.
    *
-   * Guards against an innocent task that is given up: one that leaves by itself is lost as well.
+   * A draining target is not recorded as a possible crash: it leaves by itself, and its tasks must
+   * not be given up for that.
    * @param targetId - The target.
-   * @param reason - How the loss is known.
+   * @param reason - How the loss became known.
    * @returns All runs that were on it.
    */
   note(targetId: string, reason: TargetLoss): readonly OrderedRun[] {
@@ -101,10 +102,10 @@
   }
 
   /**
-   * Decides what the crash of a target says of the tasks that were lost with it.
-   * @param targetId - The target; its loss may have been noted some seconds ago.
-   * @param isWithRack - Whether others of its rack crashed together with it.
-   * @returns What follows for the tasks; none where the crash was told of before.
+   * Attributes the crash of a target to the tasks that were lost with it.
+   * @param targetId - The target; its loss may have been recorded some seconds ago.
+   * @param isWithRack - Whether other targets of its rack crashed together with it.
+   * @returns The verdict for each task; empty if the crash was reported before.
    */
   blame(targetId: string, isWithRack: boolean): readonly RunBlame[] {
     const { runs = [], hasJustStarted = false } = this.losses.get(targetId) ?? {};
@@ -117,7 +118,9 @@
     });
   }
 
-  /** A task whose job has ended meanwhile still counts beside the others. */
+  /**
+   * Describes a lost run; its task still counts among the others if its job has ended meanwhile.
+   */
   private describe({ run, survivedMs }: LostRun): CrashedRun {
     const { table } = this.options;
     const { taskName, isSent } = run;
--- a/src/taskHome/RunOrder.ts
+++ b/src/taskHome/RunOrder.ts
@@ -1,9 +1,9 @@
 import type { RunKey } from './RunKey.js';
 
 /**
- * How far an order is. `unanswered` means that the target may have started the run, or may do so
- * later; `stop-unanswered` the same of a stop; `stopped` that the target has accepted the stop, so
- * that a late start is refused there.
+ * State of an order. `unanswered` means that the target may have started the run, or may do so
+ * later; `stop-unanswered` means the same for a stop. `stopped` means that the target has accepted
+ * the stop, so that it refuses a late start.
  */
 export type OrderPhase =
   'unsent' | 'starting' | 'unanswered' | 'started' | 'stopping' | 'stop-unanswered' | 'stopped';
@@ -15,7 +15,7 @@
   'stopped',
 ]);
 
-/** A run that was ordered of a target. */
+/** A run that was ordered from a target. */
 export interface OrderedRun extends RunKey {
   /** Whether its start was sent, so that the target may have begun it. */
   readonly isSent: boolean;
@@ -30,14 +30,14 @@
   phase: OrderPhase;
   /** Since when the target is known to run it, by the monotonic clock. */
   begunAtMs: number | undefined;
-  /** When the last answer came, by the monotonic clock: a report asked for later shows the run. */
+  /** Monotonic time of the last answer; a report that is requested later shows the run. */
   answeredAtMs: number;
 }
 
 /**
- * Describes an order to those who only look at it.
+ * Creates a read-only view of an order.
  * @param order - The order.
- * @returns The run, and how far it is known to be.
+ * @returns The run and its known state.
  */
 export function describeOrder({ taskName, run, targetId, phase, begunAtMs }: RunOrder): OrderedRun {
   const isSent = phase !== 'unsent';
--- a/src/taskHome/RunStops.ts
+++ b/src/taskHome/RunStops.ts
@@ -24,20 +24,22 @@
   readonly events: EventLog;
 }
 
-/** Decides which runs of a home's tasks are stopped before their own end, and orders that. */
+/**
+ * Decides which runs of a home's tasks are stopped before they end by themselves, and stops them.
+ */
 export class RunStops {
   private readonly options: RunStopsOptions;
 
   /**
-   * Stops nothing yet.
-   * @param options - Jobs, orders, and what is known of targets and runs.
+   * Creates a stopper for the runs of one home.
+   * @param options - Jobs, orders, and the state of targets and runs.
    */
   constructor(options: RunStopsOptions) {
     this.options = options;
   }
 
   /**
-   * Stops long-running tasks on targets that are being emptied, as far as their steps allow.
+   * Stops long-running tasks on targets that are being drained, as far as their steps allow.
    * @param drainedTargets - Ids of the targets.
    */
   evacuate(drainedTargets: ReadonlySet<string>): void {
@@ -69,9 +71,9 @@
   }
 
   /**
-   * Stops tasks that stand still, so that they start again on another target.
+   * Stops stalled tasks, so that they start again on another target.
    * @param targetId - The target.
-   * @param running - What it reports to run.
+   * @param running - The tasks that it reports as running.
    */
   stopStalled(targetId: string, running: readonly RunningTaskReport[]): void {
     const { table, progress, health, events } = this.options;
@@ -86,10 +88,10 @@
   }
 
   /**
-   * Stops the others of a gang of which a member could not start. Left alone they would hold their
-   * targets until the wait for that member ends, and count as started in vain.
+   * Stops the other members of a gang if one member could not start. Otherwise they would hold
+   * their targets until the wait for that member ends, and count as unsuccessful starts.
    * @param row - The job.
-   * @param position - Place of the member among the job's tasks.
+   * @param position - Index of the member among the job's tasks.
    */
   stopGangMates(row: DurableJobRow, position: number): void {
     listGangMates(row, position).forEach((place) =>
@@ -98,8 +100,9 @@
   }
 
   /**
-   * Tells whether a long-running task is at work and stays so. A target reports a run that is being
-   * stopped until it has ended; counted as at work, it would let a second task of the step go.
+   * Tells whether a long-running task is at work and is not being stopped. A target reports a run
+   * that is being stopped until it has ended; if that run counted as at work, a second task of the
+   * step could be stopped.
    */
   private isAtWork(row: DurableJobRow, task: TaskRow): boolean {
     const { orders, progress } = this.options;
@@ -108,7 +111,7 @@
     return progress.isAtWork(taskName, task.run);
   }
 
-  /** Stops a run whose task goes on elsewhere; the next run's progress begins anew. */
+  /** Stops a run whose task continues on another target; the next run starts with new progress. */
   private stopForRestart(taskName: string): void {
     this.options.progress.forget(taskName);
     this.options.orders.stop(taskName);
--- a/src/taskHome/RunTimer.ts
+++ b/src/taskHome/RunTimer.ts
@@ -2,20 +2,20 @@
 import { ALL_MECHANISMS, type Mechanisms, RunTimes } from '../systems/index.js';
 import type { Clock } from '../utils/index.js';
 
-/** Times runs from their placement to their end, and learns from those that are done. */
+/** Measures runs from placement to end, and learns run times from those that are done. */
 export class RunTimer {
-  /** What has been learned. */
+  /** The run times learned so far. */
   readonly runTimes: RunTimes;
 
   private readonly clock: Clock;
 
-  /** When the runs under way were placed, by the monotonic clock. */
+  /** Monotonic time at which each current run was placed, by task name. */
   private readonly placedAtMs = new Map<string, number>();
 
   /**
    * Starts without runs.
-   * @param clock - Times the runs.
-   * @param mechanisms - What is on; everything where it is absent.
+   * @param clock - Clock that measures the runs.
+   * @param mechanisms - Mechanisms that are switched on; all by default.
    */
   constructor(clock: Clock, mechanisms: Mechanisms = ALL_MECHANISMS) {
     this.clock = clock;
@@ -23,7 +23,7 @@
   }
 
   /**
-   * Takes note of a placement.
+   * Records the placement of a run.
    * @param taskName - Name of the task.
    */
   begin(taskName: string): void {
@@ -31,11 +31,11 @@
   }
 
   /**
-   * Takes note of an end.
+   * Records the end of a run.
    * @param taskName - Name of the task.
    * @param row - Its job.
-   * @param position - Its place among the job's tasks.
-   * @param isDone - Whether the run came to its own end.
+   * @param position - Index of the task among the job's tasks.
+   * @param isDone - Whether the run completed; only completed runs are learned from.
    */
   end(taskName: string, { spec, tasks }: DurableJobRow, position: number, isDone: boolean): void {
     const placedAtMs = this.placedAtMs.get(taskName);
--- a/src/taskHome/StartGuard.ts
+++ b/src/taskHome/StartGuard.ts
@@ -7,11 +7,11 @@
 export interface StartGuardOptions {
   readonly table: JobTable;
   readonly orders: Pick<TaskOrders, 'listOn'>;
-  /** Sessions with the targets, which are created after the runs. */
+  /** Gets the sessions with the targets, which are created after the runs. */
   readonly getSessions: () => Pick<TargetSessions, 'getCapacity' | 'hasShrunk' | 'isDraining'>;
 }
 
-/** Knows which targets must be given no start, whatever was placed there before. */
+/** Decides which targets must not receive a start, even of a run that is already placed there. */
 export class StartGuard {
   private readonly options: StartGuardOptions;
 
@@ -19,33 +19,34 @@
   private readonly adoptedTargets = new Set<string>();
 
   /**
-   * Guards no target yet.
-   * @param options - Jobs, runs, and what targets say of themselves.
+   * Starts without adopted targets.
+   * @param options - Jobs, runs, and the sessions with the targets.
    */
   constructor(options: StartGuardOptions) {
     this.options = options;
   }
 
   /**
-   * Takes note of a run that an earlier home has placed.
-   * @param targetId - Its target.
+   * Records that an earlier home has placed a run on a target.
+   * @param targetId - The target.
    */
   noteAdopted(targetId: string): void {
     this.adoptedTargets.add(targetId);
   }
 
   /**
-   * Tells whether a target must be given no start.
+   * Tells whether a target must not receive a start.
    * @param targetId - The target.
-   * @returns Whether it leaves, or has less room than its runs need.
+   * @returns Whether it is draining, or has less capacity than its runs need.
    */
   refusesStarts(targetId: string): boolean {
     return this.options.getSessions().isDraining(targetId) || this.isOverfull(targetId);
   }
 
   /**
-   * Guards against a start that overfills a target which does not look after its room itself: the
-   * room has shrunk while the placement was stored, or before the home that repeats the start.
+   * Tells whether the runs on a target need more than its capacity. A start could overcommit a
+   * target that does not enforce its capacity itself, if the capacity shrank while the placement
+   * was being stored, or before this home took over and repeated the start.
    */
   private isOverfull(targetId: string): boolean {
     const { table, orders, getSessions } = this.options;
--- a/src/taskHome/StrayRuns.ts
+++ b/src/taskHome/StrayRuns.ts
@@ -4,14 +4,14 @@
 /** Options of {@link StrayRuns}. */
 export type StrayRunsOptions = Pick<TargetCalls, 'events' | 'getAddress' | 'port' | 'term'>;
 
-/** Runs that targets report although this home has not ordered them, such as late starts. */
+/** Stops runs that targets report although this home has not ordered them, such as late starts. */
 export class StrayRuns {
   private readonly options: StrayRunsOptions;
 
   private readonly targetIds = new Set<string>();
 
   /**
-   * Knows of none.
+   * Starts without stray runs.
    * @param options - The port to targets.
    */
   constructor(options: StrayRunsOptions) {
@@ -19,9 +19,9 @@
   }
 
   /**
-   * Stops the strays on a target.
+   * Stops the stray runs on a target.
    * @param targetId - The target.
-   * @param strays - Those in its latest report.
+   * @param strays - The stray runs in its latest report.
    */
   take(targetId: string, strays: readonly RunKey[]): void {
     if (strays.length === 0) this.targetIds.delete(targetId);
@@ -30,9 +30,9 @@
   }
 
   /**
-   * Tells whether a target runs what nobody ordered: it takes room until its end is reported.
+   * Tells whether a target has stray runs, which take up capacity until their end is reported.
    * @param targetId - The target.
-   * @returns Whether its latest report says so.
+   * @returns Whether its latest report shows any.
    */
   areOn(targetId: string): boolean {
     return this.targetIds.has(targetId);
--- a/src/taskHome/TargetDirectory.ts
+++ b/src/taskHome/TargetDirectory.ts
@@ -7,12 +7,12 @@
   readonly store: KeyedLogPort;
   readonly topic: string;
   readonly partition: number;
-  /** Decodes a target's report; undefined where it cannot be read. */
+  /** Decodes a target's report; undefined if it cannot be read. */
   readonly decode: (record: KeyedRecord) => TargetEntry | undefined;
   readonly events: EventLog;
 }
 
-/** The targets that report themselves at the platform's store, as of the last refresh. */
+/** The targets that report themselves in the platform's store, as of the last refresh. */
 export class TargetDirectory {
   private readonly options: TargetDirectoryOptions;
 
@@ -26,7 +26,7 @@
 
   /**
    * Creates an empty directory.
-   * @param options - Where targets report themselves.
+   * @param options - The part of the store in which targets report themselves.
    */
   constructor(options: TargetDirectoryOptions) {
     this.options = options;
@@ -46,7 +46,7 @@
     return this.entries;
   }
 
-  /** Reads what has changed; without an answer the entries stay as they are. */
+  /** Reads the changes since the last refresh; if the store does not answer, the entries stay. */
   refresh(): Promise<void> {
     this.refreshing ??= this.read().finally(() => {
       this.refreshing = undefined;
--- a/src/taskHome/TargetDrains.ts
+++ b/src/taskHome/TargetDrains.ts
@@ -5,7 +5,7 @@
   readonly untilMs: number;
 }
 
-/** Targets that get no new task because the fleet's home is about to take their VMs. */
+/** Targets that receive no new tasks because the fleet's home is about to take their VMs. */
 export class TargetDrains {
   private readonly clock: Clock;
 
@@ -13,7 +13,7 @@
 
   /**
    * Starts without drains.
-   * @param clock - Decides when a drain ends that nobody repeats.
+   * @param clock - Clock that expires drains that are not repeated.
    */
   constructor(clock: Clock) {
     this.clock = clock;
@@ -22,8 +22,8 @@
   /**
    * Replaces the drains of a pool.
    * @param pool - The pool.
-   * @param targetIds - Targets that get no new task.
-   * @param forMs - How long, in milliseconds.
+   * @param targetIds - Targets that receive no new tasks.
+   * @param forMs - Duration of the drains, in milliseconds.
    */
   replace(pool: string, targetIds: readonly string[], forMs: number): void {
     const untilMs = this.clock.monotonicMs() + forMs;
@@ -34,7 +34,7 @@
   }
 
   /**
-   * Tells whether a target gets no new task.
+   * Tells whether a target receives no new tasks.
    * @param targetId - The target.
    * @returns Whether it is drained at this moment.
    */
--- a/src/taskHome/TargetHealth.ts
+++ b/src/taskHome/TargetHealth.ts
@@ -7,11 +7,11 @@
   readonly events: EventLog;
 }
 
-/** Different jobs that have to fail in a row on a target before it is avoided. */
+/** Number of different jobs that must fail in a row on a target before it is avoided. */
 const FAILED_JOBS_TO_AVOID = 2;
-/** How long a target that fails tasks is avoided: the platform's faults last 5 to 7 s. */
+/** Time for which a target that fails tasks is avoided; the platform's faults last 5 to 7 s. */
 const AVOID_FAILING_MS = 4_000;
-/** Pause after a refusal for want of room or health: one report of the target is in between. */
+/** Pause after a refusal for lack of capacity or health; the target reports once in between. */
 const AVOID_REFUSING_MS = 400;
 
 interface Health {
@@ -22,11 +22,11 @@
 const SOUND: Health = { failedJobs: new Set(), avoidedUntilMs: 0 };
 
 /**
- * Learns which targets fail what they start.
+ * Tracks which targets fail the tasks that they start.
  *
- * Guards against one broken target that uses up the attempts of many jobs: it fails tasks at once,
- * so it always has room. A single failing job says nothing about the target, as jobs that can never
- * succeed fail everywhere; two different jobs in a row without a success between them do.
+ * A single broken target could use up the attempts of many jobs: it fails tasks at once, so it
+ * always has free capacity. One failing job says nothing about the target, because jobs that can
+ * never succeed fail everywhere; two different jobs in a row without a success in between do.
  */
 export class TargetHealth {
   private readonly options: TargetHealthOptions;
@@ -36,7 +36,7 @@
   private readonly failedTargets = new Map<string, ReadonlySet<string>>();
 
   /**
-   * Starts without a bad word about any target.
+   * Starts with all targets considered healthy.
    * @param options - Clock and log.
    */
   constructor(options: TargetHealthOptions) {
@@ -44,18 +44,18 @@
   }
 
   /**
-   * Takes note of a success.
-   * @param targetId - Where a task was done.
+   * Records a success.
+   * @param targetId - Target on which a task was done.
    */
   noteSuccess(targetId: string): void {
     this.healths.delete(targetId);
   }
 
   /**
-   * Takes note of a failure.
-   * @param targetId - Where a task failed.
-   * @param jobId - Its job.
-   * @param taskName - Its name.
+   * Records a failure.
+   * @param targetId - Target on which a task failed.
+   * @param jobId - Id of the task's job.
+   * @param taskName - Name of the task.
    */
   noteFailure(targetId: string, jobId: string, taskName: string): void {
     const earlier = this.failedTargets.get(taskName) ?? new Set();
@@ -67,7 +67,7 @@
   }
 
   /**
-   * Takes note of a task that stood still, which a job cannot be to blame for.
+   * Records a stalled task. One stall is enough to avoid the target, as a job cannot cause it.
    * @param targetId - The target.
    */
   noteStall(targetId: string): void {
@@ -75,7 +75,7 @@
   }
 
   /**
-   * Takes note of a start that a target refused for want of room or health.
+   * Records a start that a target refused for lack of capacity or health.
    * @param targetId - The target.
    */
   noteRefusal(targetId: string): void {
--- a/src/taskHome/TargetSession.ts
+++ b/src/taskHome/TargetSession.ts
@@ -3,10 +3,10 @@
 import type { LeaseAnswer, LeasedTargetAddress, LeasedTargetPort } from '../targets/index.js';
 import { assertNever, type Clock } from '../utils/index.js';
 
-/** A report of a target with the time at which it was asked for. */
+/** A report of a target with the time at which it was requested. */
 export interface TargetReport {
   readonly answer: Extract<LeaseAnswer, { readonly type: 'report' }>;
-  /** When the renewal was sent, by the monotonic clock; later orders may not be in the report. */
+  /** Monotonic time at which the renewal was sent; the report may not contain later orders. */
   readonly askedAtMs: number;
 }
 
@@ -20,21 +20,21 @@
   readonly term: number;
   /** Length of the lease that each renewal asks for, in milliseconds. */
   readonly leaseMs: number;
-  /** Longest time that the target may hold a renewal back for an end, in milliseconds. */
+  /** Longest time for which the target may delay its answer until a run ends, in milliseconds. */
   readonly waitMs: number;
   readonly clock: Clock;
   readonly events: EventLog;
-  /** Takes a report; the next renewal is sent once this has resolved. */
+  /** Handles a report; the next renewal is sent once this has resolved. */
   readonly onReport: (report: TargetReport) => Promise<void>;
   readonly onEnd: (end: SessionEnd) => void;
 }
 
-/** Pause after a renewal without an answer, in milliseconds: several tries within one lease. */
+/** Pause after an unanswered renewal, in milliseconds; allows several attempts within one lease. */
 const RETRY_PAUSE_MS = 200;
-/** The slowest clock of a target, by the platform's bounds: 2 % behind. */
+/** Rate of the slowest clock that the platform's bounds allow a target: 2 % slow. */
 const SLOWEST_TARGET_CLOCK = 0.98;
 
-/** Keeps the lease of one target and passes on its reports, one renewal at a time. */
+/** Renews the lease of one target and passes on its reports, one renewal at a time. */
 export class TargetSession {
   private readonly options: TargetSessionOptions;
 
@@ -53,7 +53,7 @@
   private readonly outage: OutageLog;
 
   /**
-   * Creates a session that renews nothing yet.
+   * Creates a session without starting its renewals.
    * @param options - The target, the term and the length of the lease.
    */
   constructor(options: TargetSessionOptions) {
@@ -83,8 +83,8 @@
   }
 
   /**
-   * Time from which on everything that ran on the target has certainly been killed, by the
-   * monotonic clock. Before the first answer an earlier home's lease may still run.
+   * Monotonic time by which everything that ran on the target has certainly been killed. Before the
+   * first answer, a lease of an earlier home may still be valid.
    */
   get surelyLapsedAtMs(): number {
     const { readTargetClock, leaseUntilTargetMs, createdAtMs } = this;
@@ -95,7 +95,7 @@
     return readTargetClock.atMs + Math.max(0, restMs) / SLOWEST_TARGET_CLOCK;
   }
 
-  /** Starts to renew, until the session is closed or ends by itself. */
+  /** Renews the lease until the session is closed or ends by itself. */
   start(): void {
     void this.run();
   }
@@ -106,7 +106,7 @@
   }
 
   /**
-   * Lets the target forget ends, with the next renewal.
+   * Lets the target discard ends of runs, with the next renewal.
    * @param endNumber - Ends up to this number are stored.
    */
   acknowledge(endNumber: number): void {
@@ -114,7 +114,7 @@
   }
 
   /**
-   * Takes the target's clock from an answer to an order.
+   * Records the reading of the target's clock from an answer to an order.
    * @param targetMs - Reading of the target's clock.
    */
   noteClock(targetMs: number): void {
@@ -144,9 +144,10 @@
   private async renew(): Promise<void> {
     const { port, address, term, waitMs, clock } = this.options;
     const askedAtMs = clock.monotonicMs();
-    // The first renewal only raises the term and reads the clock that a lease is counted on. While
-    // the target is silent nothing extends its lease either: a renewal without an answer may still
-    // be carried out, so its lease would never be over for certain and its tasks never run again.
+    // The first renewal only raises the term and reads the clock on which the lease is counted.
+    // While the target is silent, renewals do not extend its lease either: an unanswered renewal
+    // may still take effect, so the lease would never be certain to have lapsed, and the target's
+    // tasks would never run again.
     const isOnlyLook = this.readTargetClock === undefined || this.outage.isOut;
     try {
       const answer = await port.renew(address, {
--- a/src/taskHome/TargetSessions.ts
+++ b/src/taskHome/TargetSessions.ts
@@ -7,7 +7,7 @@
 import { type TargetReport, TargetSession } from './TargetSession.js';
 import type { TaskHomeTiming } from './TaskHomeTiming.js';
 
-/** Why nothing of a target runs any more; after a lapse the same lifetime may come back. */
+/** Why nothing runs on a target any more; after a lapse, the same lifetime may come back. */
 export type TargetLoss = 'other-lifetime' | 'crashed' | 'unlisted' | 'lapsed';
 
 /** Options of {@link TargetSessions}. */
@@ -20,7 +20,9 @@
   /** Targets of this home's pools as the platform lists them. */
   readonly getEntries: () => TargetEntries;
   readonly onReport: (targetId: string, report: TargetReport) => Promise<void>;
-  /** The lifetime of a target is over for certain, so nothing runs there any more. */
+  /**
+   * Called when the lifetime of a target is certainly over, so that nothing runs there any more.
+   */
   readonly onGone: (targetId: string, reason: TargetLoss) => void;
   readonly onStaleTerm: () => void;
 }
@@ -32,16 +34,16 @@
   isListed: boolean;
   /** When this home first saw the target, by the monotonic clock. */
   readonly appearedAtMs: number;
-  /** Whether the target has had more room in this lifetime than it says to have now. */
+  /** Whether the target had more capacity earlier in this lifetime than it reports now. */
   hasShrunk: boolean;
   takenEndNumber: number;
 }
 
-/** Time within which a new home has met the targets that were there before, in milliseconds. */
+/** Time within which a new home has found the targets that existed before it, in milliseconds. */
 const TARGETS_MET_MS = 1_000;
-/** Age up to which a target has just started, in milliseconds: a sick one crashes every few s. */
+/** Age up to which a target has just started, in milliseconds; a faulty one crashes every few s. */
 const JUST_STARTED_MS = 10_000;
-/** Time after the end of a lease from which its target counts as empty, in milliseconds. */
+/** Margin after the end of a lease until its target counts as empty, in milliseconds. */
 const LAPSE_MARGIN_MS = 300;
 
 function isSmaller(now: Resources, before: Resources): boolean {
@@ -52,7 +54,7 @@
   );
 }
 
-/** The targets of one home: a session with each, and what the platform says of it. */
+/** The targets of one home: a session with each, and its latest entry in the platform. */
 export class TargetSessions {
   private readonly options: TargetSessionsOptions;
 
@@ -64,14 +66,14 @@
 
   /**
    * Starts without targets.
-   * @param options - Where targets come from and what happens with their reports.
+   * @param options - The source of targets, and callbacks for their reports.
    */
   constructor(options: TargetSessionsOptions) {
     this.options = options;
     this.openedAtMs = options.clock.monotonicMs();
   }
 
-  /** Opens sessions with new targets, and ends those of targets that are gone for certain. */
+  /** Opens sessions with new targets, and ends those of targets that are certainly gone. */
   sync(): void {
     const entries = this.options.getEntries();
     entries.forEach((entry) => this.update(entry));
@@ -104,29 +106,29 @@
   }
 
   /**
-   * Gets what a target has in all, as it said last.
+   * Gets the total capacity of a target, as last reported.
    * @param targetId - Id of the target.
-   * @returns Its capacity, or undefined where the target is not known.
+   * @returns Its capacity, or undefined if the target is not known.
    */
   getCapacity(targetId: string): Resources | undefined {
     return this.known.get(targetId)?.entry.capacity;
   }
 
   /**
-   * Tells whether a target has had more room in its lifetime, so that what was placed there may not
-   * fit any more.
+   * Tells whether a target had more capacity earlier in its lifetime, so that the runs placed there
+   * may not fit any more.
    * @param targetId - Id of the target.
-   * @returns Whether it is known to have shrunk.
+   * @returns Whether its capacity is known to have shrunk.
    */
   hasShrunk(targetId: string): boolean {
     return this.known.get(targetId)?.hasShrunk === true;
   }
 
   /**
-   * Tells whether a target has started a short while ago. It may be one that crashes again and
-   * again, whatever it runs.
+   * Tells whether a target has started a short while ago. It may be one that crashes repeatedly,
+   * whatever it runs.
    * @param targetId - Id of the target.
-   * @returns Whether it has; false for those that were there when this home opened.
+   * @returns Whether it has; false for targets that existed when this home opened.
    */
   hasJustStarted(targetId: string): boolean {
     const { appearedAtMs = -Infinity } = this.known.get(targetId) ?? {};
@@ -146,7 +148,7 @@
   /**
    * Gets the address of a target.
    * @param targetId - Id of the target.
-   * @returns The address, or undefined where the target is not known.
+   * @returns The address, or undefined if the target is not known.
    */
   getAddress(targetId: string): LeasedTargetAddress | undefined {
     return this.known.get(targetId)?.entry;
@@ -155,7 +157,7 @@
   /**
    * Tells how old the latest answer of a target is.
    * @param targetId - Id of the target.
-   * @returns The age in milliseconds, or undefined where the target has not answered yet.
+   * @returns The age in milliseconds, or undefined if the target has not answered yet.
    */
   getAnswerAgeMs(targetId: string): number | undefined {
     return this.known.get(targetId)?.session.answerAgeMs;
@@ -164,7 +166,7 @@
   /**
    * Tells when a target last answered.
    * @param targetId - Id of the target.
-   * @returns The time by the monotonic clock, or undefined where the target has not answered yet.
+   * @returns The time by the monotonic clock, or undefined if the target has not answered yet.
    */
   getAnsweredAtMs(targetId: string): number | undefined {
     return this.known.get(targetId)?.session.answeredAtMs;
@@ -180,7 +182,7 @@
   }
 
   /**
-   * Takes a target's clock from an answer.
+   * Records the reading of a target's clock from an answer.
    * @param targetId - Id of the target.
    * @param targetClockMs - Reading of its clock.
    */
@@ -189,7 +191,8 @@
   }
 
   /**
-   * Filters the ends that were not taken before; a target repeats them until they are acknowledged.
+   * Selects the ends of runs that were not taken before; a target repeats them until they are
+   * acknowledged.
    * @param targetId - Id of the target.
    * @param ended - Ends of a report.
    * @returns The new ones, in order.
@@ -205,7 +208,7 @@
   }
 
   /**
-   * Lets a target forget ends that are stored.
+   * Lets a target discard ends of runs that are stored.
    * @param targetId - Id of the target.
    * @param endNumber - Number of the last one.
    */
@@ -217,7 +220,8 @@
    * Lists the targets for a round of placement.
    * @param isAvoided - Tells whether a target is to be left out for a while.
    * @returns The targets; one that drains or does not answer takes no tasks. One that the platform
-   * does not list may have lost its entry in an outage of the store; its answers count.
+   * does not list takes tasks if it answers, as it may have lost its entry in an outage of the
+   * store.
    */
   listForPlacement(isAvoided: (targetId: string) => boolean): readonly PlacementTarget[] {
     return [...this.known.values()].map(({ entry, session }) => ({
@@ -234,7 +238,7 @@
   /**
    * Ends the session with a target whose lifetime is over.
    * @param targetId - Id of the target.
-   * @param mayReturn - Whether the same lifetime may be heard again, after its lease has lapsed.
+   * @param mayReturn - Whether the same lifetime may come back after its lease has lapsed.
    */
   remove(targetId: string, mayReturn: boolean): void {
     this.known.get(targetId)?.session.close();
@@ -249,10 +253,11 @@
   }
 
   /**
-   * Tells whether nothing can run on a target any more: its lease is over by the slowest clock, and
-   * the platform does not list it. Silence alone says nothing, as a target that is cut off runs on.
-   * Guards against a task that runs twice: a target that has announced its leave, too, runs on for
-   * seconds, and its entry may expire meanwhile. One that has left shows sooner in the list of VMs.
+   * Tells whether nothing can run on a target any more: its lease is over even by the slowest
+   * clock, and the platform does not list it. Silence alone proves nothing, as a target that is cut
+   * off runs on. A target that has announced its leave also runs on for seconds, and its entry may
+   * expire meanwhile; if it counted as gone, its tasks would run twice. The list of VMs shows
+   * sooner that a target has left.
    */
   private static isSurelyGone({ session, isListed }: Known, nowMs: number): boolean {
     if (isListed || session.isReachable) return false;
--- a/src/taskHome/TaskOrders.ts
+++ b/src/taskHome/TaskOrders.ts
@@ -17,26 +17,26 @@
 import type { TaskOrdersOptions } from './TaskOrdersOptions.js';
 
 /**
- * Starts and stops runs on targets, and finds out what became of orders without an answer.
+ * Starts and stops runs on targets, and determines the outcome of unanswered orders.
  *
- * A start without an answer may take effect seconds later. It is repeated under the same number
- * on the same target, which changes nothing there, and the task goes elsewhere only after the
- * target has refused it, has accepted a stop of it, or has ended its lifetime. Otherwise the task
- * could run twice.
+ * An unanswered start may take effect seconds later. It is repeated with the same run number on the
+ * same target, where the repetition has no further effect. The task moves to another target only
+ * after this one has refused the start, has accepted a stop, or has ended its lifetime. Otherwise
+ * the task could run twice.
  */
 export class TaskOrders {
   private readonly options: TaskOrdersOptions;
 
   private readonly orders = new Map<string, RunOrder>();
 
-  /** The same orders by target: each report of a target asks for its own. */
+  /** The same orders by target, because each report of a target is compared with its orders. */
   private readonly byTarget = new Map<string, Set<RunOrder>>();
 
   private readonly strays: StrayRuns;
 
   /**
    * Creates an empty set of orders.
-   * @param options - The port to targets and what happens with their answers.
+   * @param options - The port to targets, and callbacks for their answers.
    */
   constructor(options: TaskOrdersOptions) {
     this.options = options;
@@ -71,7 +71,7 @@
   }
 
   /**
-   * Tells whether a run was never sent to its target.
+   * Tells whether the start of a run was never sent to its target.
    * @param taskName - Name of the task.
    * @returns Whether its start is still only planned.
    */
@@ -82,7 +82,8 @@
   /**
    * Tells whether a run is being stopped; its target may still report it for a moment.
    * @param taskName - Name of the task.
-   * @returns Whether a stop was sent, with or without an answer, and its end was not reported yet.
+   * @returns Whether a stop was sent, with or without an answer, and the end of the run was not
+   * reported yet.
    */
   isStopping(taskName: string): boolean {
     return STOP_PHASES.has(this.orders.get(taskName)?.phase);
@@ -91,7 +92,7 @@
   /**
    * Finds the order for a task.
    * @param taskName - Name of the task.
-   * @returns Its run, or undefined where none is ordered.
+   * @returns Its run, or undefined if none is ordered.
    */
   find(taskName: string): OrderedRun | undefined {
     const order = this.orders.get(taskName);
@@ -117,9 +118,9 @@
   }
 
   /**
-   * Tells whether a target runs what nobody ordered: it takes room until its end is reported.
+   * Tells whether a target has stray runs, which take up capacity until their end is reported.
    * @param targetId - Id of the target.
-   * @returns Whether its latest report says so.
+   * @returns Whether its latest report shows any.
    */
   hasStrays(targetId: string): boolean {
     return this.strays.areOn(targetId);
@@ -160,13 +161,13 @@
    * Compares the runs on a target with its report.
    * @param targetId - Id of the target.
    * @param running - What runs there.
-   * @param askedAtMs - When the report was asked for, by the monotonic clock.
+   * @param askedAtMs - When the report was requested, by the monotonic clock.
    */
   reconcile(targetId: string, running: readonly RunningTaskReport[], askedAtMs: number): void {
     const runningNames = new Map(running.map((task) => [task.taskName, task]));
     const onTarget = this.byTarget.get(targetId) ?? [];
     [...onTarget].forEach((order) => {
-      // The end of a run before it may have ended this one too, as one of its gang.
+      // An order handled earlier in this loop may have ended this run too, as one of its gang.
       if (!this.isCurrent(order)) return;
       const isRunning = runningNames.get(order.taskName)?.run === order.run;
       if (isRunning) this.noteRunning(order);
@@ -221,9 +222,9 @@
   }
 
   /**
-   * Guards against a start on a target that has announced its leave meanwhile, or whose room has
-   * shrunk: the start before had no answer, and repeated seconds later it would put a task on a
-   * target that takes none. Stopped there, the run can go elsewhere.
+   * Repeats an unanswered start. If the target has announced its leave meanwhile, or its capacity
+   * has shrunk, the run is stopped instead: the start, repeated seconds later, would put a task on
+   * a target that takes none. Once the run is stopped there, the task can go to another target.
    */
   private startAgain(order: RunOrder): void {
     if (this.options.refusesStarts(order.targetId)) void this.sendStop(order);
@@ -231,8 +232,8 @@
   }
 
   /**
-   * Guards against a first start on a target that has announced its leave, or whose room has
-   * shrunk, while the placement was on its way to the store: a slow store would put the task on a
+   * Withdraws a first start whose target has announced its leave, or whose capacity has shrunk,
+   * while the placement was being stored: with a slow store, the start would put the task on a
    * target that takes none. Nothing was sent, so the task waits again for the next round.
    */
   private withdraw(order: RunOrder): void {
@@ -296,7 +297,7 @@
     const { taskName, run, targetId } = order;
     events.write('startRefused', { taskName, run, targetId, term, reason });
     if (reason === 'stale-term') onStaleTerm();
-    // The run has ended there before; its end is in a report, or the next one shows its absence.
+    // The run has already ended there; a report has its end, or the next one shows its absence.
     else if (reason === 'stale-run') this.settle(order, 'started');
     else if (order.phase === 'starting') {
       this.forget(taskName);
@@ -305,10 +306,11 @@
   }
 
   /**
-   * Sends a stop; one without an answer is repeated with each report until the target has answered.
+   * Sends a stop; an unanswered stop is repeated with each report until the target has answered.
    *
-   * Guards against two tasks of a step that are away at once: taken for at work again, the run
-   * would let a second task of its step go, and then its stop takes effect after all.
+   * Otherwise two tasks of a step could be unavailable at once: the run would count as at work
+   * again, a second task of its step would be stopped, and then the first stop would take effect
+   * after all.
    */
   private async sendStop(order: RunOrder): Promise<void> {
     const { port, events, term } = this.options;
--- a/src/taskHome/TaskOrdersOptions.ts
+++ b/src/taskHome/TaskOrdersOptions.ts
@@ -6,13 +6,15 @@
 /** Options of `TaskOrders`. */
 export interface TaskOrdersOptions extends TargetCalls {
   readonly clock: Clock;
-  /** Whether a target must be given no start any more: it leaves, or its room has shrunk. */
+  /**
+   * Tells whether a target must not receive a start: it is draining, or its capacity has shrunk.
+   */
   readonly refusesStarts: (targetId: string) => boolean;
-  /** The run was never sent, and never will be. */
+  /** Called when the start of a run was not sent and never will be. */
   readonly onWithdrawn: (key: RunKey) => void;
-  /** The target did not start the run, and never will. */
+  /** Called when the target did not start a run and never will. */
   readonly onRefused: (key: RunKey, reason: StartRefusal) => void;
-  /** The run is over without an end of its own in a report. */
+  /** Called when a run is over although no report has contained its end. */
   readonly onVanished: (key: RunKey) => void;
   readonly onOtherLifetime: (targetId: string) => void;
   readonly onStaleTerm: () => void;
--- a/src/taskHome/TaskPacer.ts
+++ b/src/taskHome/TaskPacer.ts
@@ -8,17 +8,20 @@
   readonly port: Pick<LeasedTargetPort, 'pace'>;
   readonly term: number;
   readonly events: EventLog;
-  /** Finds the step of a task; undefined for a task of no known job. */
+  /** Finds the step of a task; undefined for a task of an unknown job. */
   readonly getStep: (taskName: string) => StepSpec | undefined;
 }
 
 const FULL_PERCENT = 100;
 
-/** Slows best-effort tasks beside serving ones that get close to their latency targets. */
+/**
+ * Slows down best-effort tasks that share a target with serving tasks close to their latency
+ * targets.
+ */
 export class TaskPacer {
   private readonly options: TaskPacerOptions;
 
-  /** Speeds that targets have accepted, by task and run; a start works at full speed. */
+  /** Speeds in percent that targets have accepted, by task and run; a run starts at full speed. */
   private readonly percents = new Map<string, number>();
 
   /**
@@ -30,7 +33,7 @@
   }
 
   /**
-   * Takes the report of a target, and changes speeds where it has to.
+   * Handles the report of a target, and changes speeds where needed.
    * @param target - The target.
    * @param running - What runs there.
    */
@@ -63,7 +66,7 @@
       if (type === 'accepted') this.percents.set(`${taskName} ${run}`, percent);
       events.write('taskPaced', { taskName, run, targetId, percent, outcome: type });
     } catch (thrown) {
-      // The next report, a second later, decides anew.
+      // The next report, a second later, leads to a new decision.
       const outcome = String(thrown);
       events.write('taskPaced', { taskName, run, targetId, percent, outcome });
     }
--- a/src/taskHome/TaskProgress.ts
+++ b/src/taskHome/TaskProgress.ts
@@ -1,18 +1,18 @@
 import type { RunningTaskReport } from '../targets/index.js';
 import type { Clock } from '../utils/index.js';
 
-/** Progress at which a long-running task is at work. */
+/** Progress at which a long-running task counts as at work. */
 const AT_WORK_PERCENT = 100;
 
 /**
- * Age of a report from which it says nothing any more, in milliseconds. Reports come each second;
- * the platform's users take a task for away after 4.5 s or more without it.
+ * Age from which a report is outdated, in milliseconds. Reports come every second; the platform's
+ * users consider a task unavailable after 4.5 s or more without it.
  */
 const FRESH_MS = 2_000;
 
 /**
- * Time without progress from which a task counts as stalled, in milliseconds: a task of 4 s on a
- * target that is seven times too slow still moves each third of a second.
+ * Time without progress from which a task counts as stalled, in milliseconds. A task of 4 s on a
+ * target that is seven times too slow still makes progress every third of a second.
  */
 const STALLED_MS = 2_000;
 
@@ -25,7 +25,7 @@
   readonly notedAtMs: number;
 }
 
-/** How far running tasks are, by the latest report of their targets. */
+/** Tracks the progress of running tasks by the latest reports of their targets. */
 export class TaskProgress {
   private readonly byTask = new Map<string, Progress>();
 
@@ -33,14 +33,14 @@
 
   /**
    * Starts without reports.
-   * @param clock - Tells how old a report is.
+   * @param clock - Clock that gives the age of reports.
    */
   constructor(clock: Clock) {
     this.clock = clock;
   }
 
   /**
-   * Takes the report of a target.
+   * Records the report of a target.
    * @param running - What runs there.
    */
   note(running: readonly RunningTaskReport[]): void {
@@ -56,8 +56,8 @@
   /**
    * Tells whether a run makes no progress although its target reports.
    *
-   * Guards against targets on which tasks stand still: their leases are renewed and nothing fails,
-   * so the job would wait for ever.
+   * If tasks on a target stall, its lease is still renewed and nothing fails, so the job would wait
+   * forever.
    * @param taskName - Name of the task.
    * @param run - Number of the run.
    * @returns Whether it is stalled.
@@ -79,8 +79,9 @@
   /**
    * Tells whether a run of a long-running task is at work.
    *
-   * Guards against one task too many that is away: a target crashed, its last report still said
-   * that its task was at work, and the system stopped another one of the step meanwhile.
+   * Only a fresh report counts: the last report of a crashed target still says that its task is at
+   * work, so the system would stop another task of the step, and one task too many would be
+   * unavailable.
    * @param taskName - Name of the task.
    * @param run - Number of the run.
    * @returns Whether a fresh report says so.
--- a/src/taskHome/TaskRuns.ts
+++ b/src/taskHome/TaskRuns.ts
@@ -34,7 +34,7 @@
 import { TaskProgress } from './TaskProgress.js';
 import type { TaskRunsOptions } from './TaskRunsOptions.js';
 
-/** The runs of a home's tasks: from their placement to their end, with all that can go wrong. */
+/** Manages the runs of a home's tasks from placement to end, including their failures. */
 export class TaskRuns {
   private readonly options: TaskRunsOptions;
 
@@ -60,7 +60,7 @@
 
   /**
    * Starts without runs.
-   * @param options - Jobs, targets and what happens with changes.
+   * @param options - Jobs, targets, and callbacks for changes.
    */
   constructor(options: TaskRunsOptions) {
     const { clock, events, targets, term, table } = options;
@@ -109,7 +109,7 @@
     });
   }
 
-  /** What has been learned of run times. */
+  /** The run times learned so far. */
   get runTimes(): RunTimes {
     return this.timer.runTimes;
   }
@@ -131,7 +131,7 @@
   }
 
   /**
-   * Gives a task to a target; the start follows once that is stored.
+   * Places a task on a target; the start follows once the placement is stored.
    * @param placement - The task and its target.
    * @returns Name of the task.
    */
@@ -162,7 +162,7 @@
   /**
    * Lists the targets on which a task has failed.
    * @param jobId - Id of the job.
-   * @param position - Place of the task among the job's tasks.
+   * @param position - Index of the task among the job's tasks.
    * @returns Ids of the targets.
    */
   getFailedTargets(jobId: string, position: number): ReadonlySet<string> {
@@ -191,7 +191,7 @@
   }
 
   /**
-   * Takes note of what a target runs and what has ended there.
+   * Handles a report of what a target runs and which runs have ended there.
    * @param targetId - The target.
    * @param ended - Ends that were not taken before.
    * @param report - The whole report.
@@ -207,7 +207,7 @@
   }
 
   /**
-   * Stops long-running tasks on targets that are being emptied, as far as their steps allow.
+   * Stops long-running tasks on targets that are being drained, as far as their steps allow.
    * @param drainedTargets - Ids of the targets.
    */
   evacuate(drainedTargets: ReadonlySet<string>): void {
@@ -215,8 +215,8 @@
   }
 
   /**
-   * Takes note of lifetimes that are over by the platform's list of VMs, which shows a crash at
-   * once. A target that falls silent would else keep its tasks until its lease has lapsed.
+   * Handles lifetimes that are over according to the platform's list of VMs, which shows a crash at
+   * once. Otherwise a target that falls silent would keep its tasks until its lease has lapsed.
    * @param ended - The lifetimes, and which of them crashed.
    */
   loseEnded({ endedTargets, crashedTargets, lostWithRack }: EndedTargets): void {
@@ -232,7 +232,7 @@
 
   /**
    * Lists the targets on which a task that may have crashed another target has just begun.
-   * @param suspects - The placed tasks of that kind.
+   * @param suspects - The placed tasks that may have crashed a target.
    * @returns Ids of the targets.
    */
   listHoldingSuspects(suspects: readonly PlacedSuspect[]): ReadonlySet<string> {
@@ -246,7 +246,7 @@
   /**
    * Ends the runs on a target on which nothing can run any more.
    * @param targetId - The target.
-   * @param reason - How that is known.
+   * @param reason - How the loss became known.
    */
   loseTarget(targetId: string, reason: TargetLoss): void {
     const lost = this.losses.note(targetId, reason);
@@ -262,7 +262,7 @@
     this.stops.stopFinished();
   }
 
-  /** Takes note of the crash of a target that was lost, now or some seconds ago. */
+  /** Handles the crash of a target that was lost now or some seconds ago. */
   private blame(targetId: string, isWithRack: boolean): void {
     const blames = this.losses.blame(targetId, isWithRack);
     blames.forEach((blame) => this.takeBlame(blame));
@@ -302,8 +302,9 @@
   }
 
   /**
-   * Lets a task wait again whose run has not begun and never will. The caller tells of the change,
-   * or leaves it to the next round: a task that is withdrawn at once would be placed again at once.
+   * Makes a task wait again whose run has not begun and never will. The caller reports the change,
+   * or leaves it to the next round: a task that is withdrawn at once would otherwise be placed
+   * again at once.
    */
   private takeBack(key: RunKey): void {
     const found = this.table.findPlaced(key);
@@ -335,7 +336,7 @@
     if (isFinished(row) && !isFinished(found.row)) telemetry.noteFinished(row);
   }
 
-  /** Forgets the orders of gang members that another member's end has made done. */
+  /** Forgets the orders of gang members that are done because another member has ended. */
   private forgetDone(before: DurableJobRow, after: DurableJobRow): void {
     before.tasks
       .filter(({ phase }, place) => phase === 'placed' && after.tasks[place]!.phase === 'done')
--- a/src/taskHome/TaskRunsOptions.ts
+++ b/src/taskHome/TaskRunsOptions.ts
@@ -11,14 +11,14 @@
   readonly targets: LeasedTargetPort;
   readonly term: number;
   readonly table: JobTable;
-  /** Sessions with the targets, which are created after the runs. */
+  /** Gets the sessions with the targets, which are created after the runs. */
   readonly getSessions: () => TargetSessions;
   readonly clock: Clock;
   readonly events: EventLog;
   readonly telemetry: JobTelemetry;
   readonly mechanisms: Mechanisms;
-  /** Called where a job has changed, so that it is stored and what has room is placed. */
+  /** Called when a job has changed, so that it is stored and the tasks that fit are placed. */
   readonly onChanged: () => void;
-  /** Called where a target has seen a later term. */
+  /** Called when a target has seen a later term. */
   readonly onStaleTerm: () => void;
 }
--- a/src/taskHome/createTaskStart.ts
+++ b/src/taskHome/createTaskStart.ts
@@ -2,7 +2,7 @@
 import type { PlacedTask } from './JobTable.js';
 import type { RunKey } from './RunKey.js';
 
-/** What a start takes from the home that sends it. */
+/** Lease and term that a start carries from the home that sends it. */
 export interface StartTerms {
   /** End of the target's lease, on the target's own clock. */
   readonly leaseUntilTargetMs: number;
@@ -14,7 +14,7 @@
  * @param key - The run.
  * @param placed - The task.
  * @param terms - Lease and term.
- * @returns What the target is told.
+ * @returns The start to send to the target.
  */
 export function createTaskStart(
   { taskName, run }: RunKey,
--- a/src/taskHome/relayTargetCall.ts
+++ b/src/taskHome/relayTargetCall.ts
@@ -3,10 +3,11 @@
 import { callTarget, type LeasedTargetPort } from '../targets/index.js';
 
 /**
- * Calls a target for another instance, which decides for it.
- * @param targets - The targets as this instance reaches them.
- * @param request - The call, with the term of the home that wants it.
- * @returns The target's answer, or a refusal where none came: the target may then have acted.
+ * Calls a target on behalf of another instance, which makes the decisions for the target.
+ * @param targets - Port through which this instance calls targets.
+ * @param request - The call, with the term of the home that requests it.
+ * @returns The target's answer, or a refusal if none arrived; the target may have acted in that
+ * case.
  */
 export async function relayTargetCall(
   targets: LeasedTargetPort,
--- a/tests/taskHome/RelayedTargets.test.ts
+++ b/tests/taskHome/RelayedTargets.test.ts
@@ -7,7 +7,7 @@
 import { ManualClock } from '../../src/utils/index.js';
 
 const OWN_COUNT = 16;
-/** Processor of an instance that can call the most targets that it may. */
+/** CPU in cores with which an instance calls the maximum number of targets directly. */
 const ENOUGH_CORES = 1;
 const RELAYS: readonly PeerAddress[] = [
   { instance: 'relay-1', host: '10.0.0.1', port: 1 },
@@ -20,14 +20,14 @@
   port: number,
 });
 
-/** Targets that note who was called by whom. */
+/** Targets that record which instance called which target. */
 class CallLog {
   readonly calls: string[] = [];
 
   /** Instances that give no reply. */
   readonly silent = new Set<string>();
 
-  /** Whether targets answer calls of relays. */
+  /** Whether targets leave calls of relays unanswered. */
   isTargetSilent = false;
 
   createPort(caller: string): LeasedTargetPort {
@@ -80,17 +80,18 @@
     await Promise.all(Array.from({ length: OWN_COUNT }, (_t, number) => stop(number)));
   });
 
-  // At 60 targets a pool the home of a rush asked for more than its processor: 1,600 starts a
-  // second of 0.3 ms each on a third of a core. It fell behind, leases lapsed, jobs were lost.
+  // Guards against a home that makes all calls itself under peak load: with 60 targets in a pool,
+  // 1,600 starts a second of 0.3 ms each exceed its third of a core. The home falls behind, leases
+  // lapse, and jobs are lost.
   it('calls the first targets itself and the others through relays', async () => {
     expect(new Set(callers())).toEqual(new Set(['home']));
     await Promise.all([20, 21, 22, 23, 24, 25, 26, 27].map(stop));
     expect(new Set(callers().slice(OWN_COUNT))).toEqual(new Set(['relay-1', 'relay-2']));
   });
 
-  // Guards against a home on a tenth of a core whose calls alone take twice its processor: leases
-  // lapsed that it could not renew in time.
-  it('calls no more targets itself than its processor bears', async () => {
+  // Guards against a home on a tenth of a core whose calls alone take twice its CPU, so that leases
+  // lapse because it cannot renew them in time.
+  it('calls only as many targets directly as its CPU allows', async () => {
     targets = open(0.12);
     log.calls.splice(0);
     await Array.from({ length: 10 }, (_t, number) => number).reduce(async (before, number) => {
@@ -109,9 +110,9 @@
     expect(await targets.renew(target, renewal)).toMatchObject({ type: 'report', ended: [] });
   });
 
-  // Guards against a home on a narrow link whose calls wait for each other: each carried all that
-  // the platform lists of its target.
-  it('tells a relay no more of a target than where it is', async () => {
+  // Guards against calls that wait for each other on the narrow link of a home, because each
+  // carries everything that the platform lists about its target.
+  it('sends a relay only the id and address of a target', async () => {
     const told: PeerRequest[] = [];
     const home = new RelayedTargets({
       targets: log.createPort('home'),
@@ -134,8 +135,9 @@
     ]);
   });
 
-  // The relay of a target lost power: until the group noticed, 3 s later, its targets passed for
-  // silent, got no task, and their leases were not renewed, though the home could reach them.
+  // Guards against the outage of a relay that loses power: until the group notices, 3 s later, its
+  // targets count as silent, get no tasks, and their leases are not renewed, although the home can
+  // reach them.
   it('calls a target itself for a while once its relay gave no reply', async () => {
     log.silent.add('relay-1').add('relay-2');
     await expect(stop(40)).rejects.toThrow('No reply.');
@@ -157,15 +159,16 @@
     expect(new Set(callers())).toEqual(new Set(['home']));
   });
 
-  it('calls a target itself once it gave its relay no answer, and says it is without one', async () => {
+  it('calls a target itself once its relay got no answer, and reports it as silent', async () => {
     log.isTargetSilent = true;
     await expect(stop(50)).rejects.toMatchObject({ kind: 'target-silent' });
     await stop(50);
     expect(callers().at(-1)).toBe('home');
   });
 
-  // VMs were switched off by the dozen; each was silent for its relay, so that within a second the
-  // home used no relay any more and called all 60 targets itself.
+  // Guards against a home that stops using working relays: when VMs are switched off by the dozen,
+  // each is silent for its relay, so that within a second the home uses no relay any more and calls
+  // all 60 targets itself.
   it('goes on using a relay whose target has left', async () => {
     log.isTargetSilent = true;
     await Promise.allSettled([70, 71, 72, 73, 74, 75].map(stop));
@@ -175,7 +178,7 @@
     expect(callers().every((caller) => caller.startsWith('relay'))).toBe(true);
   });
 
-  it('takes a further target itself once one has left', async () => {
+  it('calls another target directly once one has left', async () => {
     targets.forget('t0');
     await stop(60);
     expect(callers().at(-1)).toBe('home');
--- a/tests/taskHome/RunStops.test.ts
+++ b/tests/taskHome/RunStops.test.ts
@@ -18,7 +18,7 @@
   loadFigure: undefined,
 });
 
-/** Orders that only take note of what they are told. */
+/** Orders that only record the calls. */
 class FakeOrders {
   readonly unsent = new Set<string>();
 
@@ -71,13 +71,13 @@
     expect(table.getActive('a')!.tasks.map(({ phase }) => phase)).toEqual(['placed', 'waiting']);
   });
 
-  it('leaves the runs of a job that goes on', () => {
+  it('does not stop the runs of an unfinished job', () => {
     table.add(placeTask(createJobRow(makeJob('a')), 0, 't1'));
     stops.stopFinished();
     expect(orders.stopped).toEqual([]);
   });
 
-  it('stops a run that stands still, and avoids its target', () => {
+  it('stops a stalled run, and avoids its target', () => {
     table.add(placeTask(createJobRow(makeJob('a')), 0, 't1'));
     const running = [report('a.0.0.0', 30)];
     progress.note(running);
@@ -90,7 +90,7 @@
     expect(health.isAvoided('t1')).toBe(true);
   });
 
-  it('leaves a member of a gang that stands still', () => {
+  it('does not stop a stalled member of a gang', () => {
     const row = createJobRow(makeJob('a', [makeStep({ taskCount: 2, isGang: true })]));
     table.add(placeTask(placeTask(row, 0, 't1'), 1, 't2'));
     const running = [report('a.0.0.0', 30)];
--- a/tests/taskHome/TargetDirectory.test.ts
+++ b/tests/taskHome/TargetDirectory.test.ts
@@ -10,9 +10,9 @@
 const MAX_READ_COUNT = 2;
 const entrySchema = z.object({ isDraining: z.boolean() });
 
-// A task began on a target that had announced its leave seconds before. An instance that had held
-// no home for half a minute became one again, and read the list of targets once: the store gives
-// at most so many changes in one answer, and the announcement stood behind them.
+// Guards against a task that begins on a target that announced its leave seconds before. An
+// instance that held no home for half a minute opens one again and reads the list of targets once:
+// the store limits the number of changes in one answer, and the announcement comes after them.
 it('reads all changes since its last refresh, also where they are more than one answer', async () => {
   const store = new StoreStandIn({ partitionCount: 1, maxReadCount: MAX_READ_COUNT });
   const report = (targetId: string, isDraining: boolean) => {
--- a/tests/taskHome/TargetSessions.test.ts
+++ b/tests/taskHome/TargetSessions.test.ts
@@ -8,9 +8,10 @@
     world = created;
   });
 
-  // A settlement ran twice: its target had announced its leave and was then cut off from the home
-  // and from the store, where its entry expired, while it worked on. Cause: a leaving target that
-  // is silent and not listed was taken for gone at once, though it holds its lease.
+  // Guards against a task that runs twice: its target announces its leave and is then cut off from
+  // the home and from the store, where its entry expires, while the target works on. This happens
+  // if a leaving target that is silent and not listed counts as gone at once, although it holds its
+  // lease.
   it('keeps a task on a leaving target that is silent until its lease has lapsed', async () => {
     world.leaseMs = 600;
     const home = await world.open();
--- a/tests/taskHome/TaskOrders.test.ts
+++ b/tests/taskHome/TaskOrders.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it, vi } from 'vitest';
 import { type HomeWorld, makeJob, makeStep, QUIET_SYNC, useHomeWorld } from './HomeWorld.js';
 
-/** Time in which several reports and looks at the fleet come, in milliseconds. */
+/** Time in which several reports arrive and the fleet is read several times, in milliseconds. */
 const SEVERAL_REPORTS_MS = 200;
 
 describe('a stop without an answer', () => {
@@ -14,7 +14,9 @@
     world = fresh;
   });
 
-  /** Runs a service of two tasks, and has the second one stopped where stops get no answer. */
+  /**
+   * Runs a service of two tasks, and stops the second one on a target that leaves stops unanswered.
+   */
   async function stopSecond(): Promise<void> {
     const home = await world.open();
     const limits = { maxUnavailableCount: 1, maxTasksPerTarget: 1 };
@@ -29,8 +31,8 @@
     });
   }
 
-  // Guards against two tasks of a step that are away, as the first stop takes effect late.
-  it('counts as on its way, so that no second task of the step is stopped', async () => {
+  // Guards against two unavailable tasks of a step, as the first stop takes effect late.
+  it('counts as pending, so that no second task of the step is stopped', async () => {
     await stopSecond();
     await sleep(SEVERAL_REPORTS_MS);
     await syncPool(['t1', 't2']);
--- a/tests/taskHome/TaskProgress.test.ts
+++ b/tests/taskHome/TaskProgress.test.ts
@@ -20,9 +20,10 @@
     expect(progress.isAtWork('a.0.0.0', 3)).toBe(false);
   });
 
-  // A service lost two of its nodes at once: a target had crashed, and while its last report still
-  // said that a node was at work, maintenance stopped another. Cause: reports did not grow old.
-  it('does not go by an old report', () => {
+  // Guards against a service that loses two of its nodes at once: a target crashes, and while its
+  // last report still says that a node is at work, maintenance stops another. This happens if
+  // reports do not become outdated.
+  it('ignores an outdated report', () => {
     const clock = new ManualClock();
     const progress = new TaskProgress(clock);
     progress.note([report(1, 100)]);
@@ -30,7 +31,7 @@
     expect(progress.isAtWork('a.0.0.0', 1)).toBe(false);
   });
 
-  // A job never ended: its tasks stood still on a target that answered every renewal.
+  // Guards against a job that never ends: its tasks stall on a target that answers every renewal.
   it('finds a run that makes no progress', () => {
     const clock = new ManualClock();
     const progress = new TaskProgress(clock);
--- a/tests/taskHome/crashes.test.ts
+++ b/tests/taskHome/crashes.test.ts
@@ -22,7 +22,7 @@
     world.targets.crashingTasks.add(CULPRIT);
   });
 
-  /** Tells a home of the targets that have crashed, each of which is back in another lifetime. */
+  /** Reports the crashed targets to a home; each of them is back in another lifetime. */
   async function tellCrashes(home: TaskHome, areBlamed = true): Promise<void> {
     const ended = crashed.splice(0);
     ended.forEach((targetId) => {
@@ -65,7 +65,7 @@
     expect(countStarts(CULPRIT)).toBe(2);
   });
 
-  // Guards against a count that begins anew with each home: the task would never be given up.
+  // Guards against a crash count that restarts with each home: the task would never be given up.
   it('remembers the crashes of a task in the next home', async () => {
     const home = await world.open();
     await home.submit(makeJob('bad'));
@@ -79,7 +79,7 @@
     expect(countStarts(CULPRIT)).toBe(2);
   });
 
-  // Guards against a crash that is counted by no home: the first one died before it was stored.
+  // Guards against a crash that no home counts: the first home dies before the crash is stored.
   it('counts a crash that the earlier home could not store', async () => {
     const home = await world.open();
     await home.submit(makeJob('bad'));
@@ -98,7 +98,7 @@
     expect(countStarts(CULPRIT)).toBe(2);
   });
 
-  // Guards against innocent tasks that are given up for lost racks, moves, maintenance and lapses.
+  // Guards against tasks that are given up because of lost racks, moves, maintenance or lapses.
   it('gives no task up whose targets are lost for other reasons', async () => {
     const home = await world.open();
     await home.submit(makeJob('bad'));
@@ -111,7 +111,8 @@
     expect(home.getState('bad')).toBe('running');
   });
 
-  // Guards against a crash without blame: the target's next lifetime answered before it was told.
+  // Guards against a crash that is attributed to no task: the target's next lifetime answers before
+  // the crash is reported.
   it('blames a task for a crash that becomes known after the loss', async () => {
     const home = await world.open();
     await home.submit(makeJob('bad'));
@@ -125,7 +126,7 @@
     expect(countStarts(CULPRIT)).toBe(2);
   });
 
-  // Guards against neighbours that lose their work with the second crash of a task.
+  // Guards against other tasks on the target that lose their work in the second crash of a task.
   it('keeps other tasks off a target on which a task under suspicion has just begun', async () => {
     world.targets.crashingTasks.clear();
     const home = await world.open();
--- a/tests/taskHome/shrinkingRoom.test.ts
+++ b/tests/taskHome/shrinkingRoom.test.ts
@@ -2,7 +2,7 @@
 import type { Resources } from '../../src/jobs/index.js';
 import { type HomeWorld, makeEntry, makeJob, makeStep, useHomeWorld } from './HomeWorld.js';
 
-/** Room for one task where there was room for four. */
+/** Capacity for one task, where there was capacity for four. */
 const ONE_TASK: Resources = { cpuMillicores: 1_000, memoryMb: 10_000, gpuCount: 0 };
 const FOUR_TASKS: Resources = { ...ONE_TASK, cpuMillicores: 4_000 };
 
@@ -18,7 +18,7 @@
     world.entries.set(targetId, makeEntry(targetId, { capacity }));
   }
 
-  it('get tasks by what they say of themselves now', async () => {
+  it('get tasks by the capacity that they report now', async () => {
     setRoom('t1', ONE_TASK);
     const home = await world.open();
     await home.submit(makeJob('a', [makeStep({ taskCount: 4 })]));
@@ -27,7 +27,7 @@
     await vi.waitFor(() => expect(world.targets.listRunning()).toHaveLength(4));
   });
 
-  // Guards against an overfilled target: its room shrank while the placement was being stored.
+  // Guards against an overcommitted target: its capacity shrinks while the placement is stored.
   it('get no start that was placed when they had more room', async () => {
     const home = await world.open();
     await home.submit(makeJob('a'));
@@ -45,7 +45,7 @@
     await world.waitForRunning(['a.0.0.0', 'b.0.0.0']);
   });
 
-  // Guards against an overfilled target: an unanswered start was repeated after it had shrunk.
+  // Guards against an overcommitted target: an unanswered start is repeated after it has shrunk.
   it('get no repeat of a start that does not fit any more, from the next home either', async () => {
     const home = await world.open();
     await home.submit(makeJob('a'));
@@ -61,8 +61,8 @@
     expect(world.targets.begun.map(({ taskName }) => taskName)).toEqual(['a.0.0.0']);
   });
 
-  // Guards against an overfilled target: what nobody ordered takes room until it has ended.
-  it('get no task while they run what was not ordered', async () => {
+  // Guards against an overcommitted target: a stray run takes up capacity until it has ended.
+  it('get no task while they have a stray run', async () => {
     const home = await world.open();
     world.targets.setFaults('t1', { stopsSlowly: true });
     await vi.waitFor(() => expect(world.countEvents('targetAppeared')).toBe(2));
