--- a/src/jobs/DurableJobRow.ts
+++ b/src/jobs/DurableJobRow.ts
@@ -1,7 +1,7 @@
 import type { DurableJobSpec, DurableJobState } from './DurableJobSpec.js';
 import { formatTaskName, type TaskRow } from './TaskRow.js';
 
-/** A job with the progress of its tasks; rows are replaced, never changed. */
+/** A job and the progress of its tasks. Rows are immutable; an update creates a new row. */
 export interface DurableJobRow {
   readonly spec: DurableJobSpec;
   readonly state: DurableJobState;
@@ -12,9 +12,9 @@
 }
 
 /**
- * Creates the row of a job that has just been accepted.
- * @param spec - The job.
- * @returns Its row; every task waits.
+ * Creates the row of a newly accepted job.
+ * @param spec - Specification of the job.
+ * @returns The row, with every task in phase `waiting`.
  */
 export function createJobRow(spec: DurableJobSpec): DurableJobRow {
   const occurrenceCount = spec.schedule?.occurrenceCount ?? 1;
@@ -37,16 +37,16 @@
 }
 
 /**
- * Names a task of a job as targets know it.
+ * Gets the name by which targets identify a task.
  * @param row - The job.
  * @param task - The task.
- * @returns The name, unique over all jobs.
+ * @returns The name, which is unique across all jobs.
  */
 export function nameTask({ spec }: DurableJobRow, task: TaskRow): string {
   return formatTaskName({ jobId: spec.jobId, ...task });
 }
 
-/** A task with its place among its job's tasks. */
+/** A task and its position among its job's tasks. */
 export interface TaskAt {
   readonly task: TaskRow;
   readonly position: number;
@@ -55,7 +55,7 @@
 /**
  * Lists the tasks of a job that are placed on targets.
  * @param row - The job.
- * @returns The tasks with their places.
+ * @returns The tasks and their positions.
  */
 export function listPlacedTasks({ tasks }: DurableJobRow): readonly TaskAt[] {
   return tasks
@@ -66,7 +66,7 @@
 /**
  * Tells whether a job has reached its final state.
  * @param row - The job.
- * @returns Whether nothing of it is to run any more.
+ * @returns Whether no further tasks of the job will be started.
  */
 export function isFinished(row: DurableJobRow): boolean {
   return row.state === 'completed' || row.state === 'failed' || row.state === 'cancelled';
@@ -75,7 +75,7 @@
 /**
  * Tells whether a job has tasks that run until it is cancelled.
  * @param row - The job.
- * @returns Whether one of its steps is of that kind.
+ * @returns Whether one of its steps is long-running.
  */
 export function isLongRunning({ spec }: DurableJobRow): boolean {
   return spec.steps.some((step) => step.isLongRunning);
--- a/src/jobs/DurableJobSpec.ts
+++ b/src/jobs/DurableJobSpec.ts
@@ -1,4 +1,4 @@
-/** Resources that a task occupies, or that a target has. */
+/** Resources that a task requires or that a target provides. */
 export interface Resources {
   readonly cpuMillicores: number;
   readonly memoryMb: number;
@@ -13,45 +13,45 @@
   readonly intervalMs: number;
 }
 
-/** A step of a job: a number of alike tasks. */
+/** A step of a job: a number of identical tasks. */
 export interface StepSpec {
   readonly taskCount: number;
   readonly demand: Resources;
-  /** The caller's guess of a task's run time; often far off. */
+  /** The caller's estimate of a task's run time, which is often far off. */
   readonly estimatedRunMs: number;
-  /** Indexes of earlier steps whose tasks must all be done first. */
+  /** Indexes of the earlier steps whose tasks must all be done before this step starts. */
   readonly afterSteps: readonly number[];
   readonly isCheckpointing: boolean;
-  /** Whether the tasks work only together and are started and ended as one. */
+  /** Whether the tasks work only together, so that they are started and ended as a unit. */
   readonly isGang: boolean;
   /** Whether the tasks of a gang slow each other down when spread over racks. */
   readonly wantsSameRack: boolean;
   readonly requiredLabel?: string;
   readonly dataRack?: string;
-  /** Most tasks of the step on one target; absent means no limit. */
+  /** Maximum number of the step's tasks on one target; no limit if absent. */
   readonly maxTasksPerTarget?: number;
-  /** Whether copies of a task may run at the same time. */
+  /** Whether several copies of a task may run at the same time. */
   readonly mayRunCopies: boolean;
   /** Whether the tasks run until the job is cancelled and are restarted however they end. */
   readonly isLongRunning: boolean;
-  /** Name of what the tasks run; tasks of one image behave alike. */
+  /** Name of the image that the tasks run; tasks with the same image behave alike. */
   readonly image?: string;
-  /** Bound of the tail latency that a long-running task has to keep, in milliseconds. */
+  /** Upper bound of a long-running task's tail latency, in milliseconds. */
   readonly latencyTargetMs?: number;
-  /** Whether the tasks take only the processor time that others leave. */
+  /** Whether the tasks use only the CPU time that other tasks leave idle. */
   readonly isBestEffort: boolean;
-  /** How many tasks the system itself may make unavailable at the same time. */
+  /** Maximum number of tasks that the system itself may make unavailable at the same time. */
   readonly maxUnavailableCount?: number;
 }
 
-/** What a queue asks for its jobs, as it stood when the job was accepted. */
+/** The queue's settings that apply to a job, as of the time when the job was accepted. */
 export interface QueueTerms {
   readonly queue: string;
   readonly pool: string;
-  /** 0 is the most urgent and may preempt others. */
+  /** 0 is the highest priority, which may preempt other jobs. */
   readonly priority: number;
   readonly maxAttempts: number;
-  /** The objective is this many times the longest chain of work, and a fixed time more. */
+  /** The objective is this factor times the longest chain of work, plus a fixed time. */
   readonly stretch: number;
   readonly targetDurationMs: number;
   /** Whether a service has to be asked which targets may run a step. */
@@ -62,13 +62,13 @@
 export interface DurableJobSpec {
   readonly jobId: string;
   readonly terms: QueueTerms;
-  /** What the targets are told to run; opaque here. */
+  /** Opaque payload that is passed to the targets and defines what they run. */
   readonly payload: string;
   readonly steps: readonly StepSpec[];
   readonly schedule?: Schedule;
-  /** When the job reached its entry, in milliseconds since the Unix epoch. */
+  /** When the job arrived at its entry, in milliseconds since the Unix epoch. */
   readonly submittedAtMs: number;
 }
 
-/** State of a job as callers see it. */
+/** State of a job as reported to callers. */
 export type DurableJobState = 'queued' | 'running' | 'completed' | 'failed' | 'cancelled';
--- a/src/jobs/EndedJob.ts
+++ b/src/jobs/EndedJob.ts
@@ -2,22 +2,22 @@
 import type { DurableJobState } from './DurableJobSpec.js';
 
 /**
- * What is kept of a job that is finished and has left all targets: just what its caller may still
- * ask. A home that opens reads these, and specifications of jobs that nobody runs any more were
- * nearly all that it read.
+ * What is kept of a job that is finished and has no tasks on targets: only what its caller can
+ * still query. A home reads all records when it opens; without this reduction, nearly all of that
+ * data would be specifications of finished jobs.
  */
 export interface EndedJob {
   readonly jobId: string;
   readonly state: DurableJobState;
 }
 
-/** A job as its home knows it: whole while something of it may run. */
+/** A job in its home: the complete row until the job is finished and has left all targets. */
 export type KnownJob = DurableJobRow | EndedJob;
 
 /**
- * Reduces a job to its end, where nothing of it is to run and nothing runs.
+ * Reduces a finished job to what is kept of it.
  * @param row - The job.
- * @returns What is kept of it; undefined while it is not finished or has tasks on targets.
+ * @returns The ended job, or undefined while the job is unfinished or has tasks on targets.
  */
 export function summarizeEnded(row: DurableJobRow): EndedJob | undefined {
   const { spec, state, tasks } = row;
--- a/src/jobs/TaskRow.ts
+++ b/src/jobs/TaskRow.ts
@@ -1,27 +1,27 @@
-/** Where a task is in its life. */
+/** Phase in the life cycle of a task. */
 export type TaskPhase = 'waiting' | 'placed' | 'done';
 
-/** One task of a step as its job's record keeps it. */
+/** Stored state of one task of a step. */
 export interface TaskRow {
   readonly occurrence: number;
   readonly step: number;
   readonly index: number;
   readonly phase: TaskPhase;
-  /** Number of the latest start; 0 before the first. */
+  /** Number of the latest run, counted from 1; 0 before the first start. */
   readonly run: number;
-  /** Target of the latest start; kept only while the task is placed. */
+  /** Target of the latest run; set only while the task is placed. */
   readonly targetId?: string;
-  /** Runs that ended by a failure. */
+  /** Number of runs that ended with a failure. */
   readonly failureCount: number;
-  /** Crashes of targets that this task may have caused. */
+  /** Number of target crashes that this task may have caused. */
   readonly crashCount: number;
-  /** Latest saved progress, from which a start can resume. */
+  /** Latest saved progress, from which the next run can resume. */
   readonly checkpoint?: string;
 }
 
 const SEPARATOR = '.';
 
-/** What a task is called at targets. */
+/** Components of the name by which targets identify a task. */
 export interface TaskName {
   readonly jobId: string;
   readonly occurrence: number;
@@ -31,8 +31,8 @@
 
 /**
  * Formats the name of a task.
- * @param name - Its parts.
- * @returns The name, unique over all jobs.
+ * @param name - Components of the name.
+ * @returns The name, which is unique across all jobs.
  */
 export function formatTaskName({ jobId, occurrence, step, index }: TaskName): string {
   return [jobId, occurrence, step, index].join(SEPARATOR);
@@ -41,7 +41,7 @@
 /**
  * Parses the name of a task.
  * @param text - The name.
- * @returns Its parts, or undefined where it is no name of a task.
+ * @returns The components, or undefined if the text is not a task name.
  */
 export function parseTaskName(text: string): TaskName | undefined {
   const [jobId, ...rest] = text.split(SEPARATOR);
--- a/src/jobs/durableJobStateSchema.ts
+++ b/src/jobs/durableJobStateSchema.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod';
 
-/** Schema of a job's state, for records and for messages between instances. */
+/** Schema of a job's state in stored records and in messages between instances. */
 export const durableJobStateSchema = z.enum([
   'queued',
   'running',
--- a/src/jobs/jobCodec.ts
+++ b/src/jobs/jobCodec.ts
@@ -30,7 +30,7 @@
   maxUnavailableCount: count.optional(),
 });
 
-/** Schema of a job's specification, for records and for messages between instances. */
+/** Schema of a job's specification in stored records and in messages between instances. */
 export const durableJobSpecSchema = z.looseObject({
   jobId: z.string(),
   terms: z.looseObject({
@@ -49,7 +49,7 @@
   submittedAtMs: z.number(),
 });
 
-/** Type of a progress record that stands for a job of which nothing runs any more. */
+/** Type of the progress record of a job that has ended and has no tasks on targets. */
 const ENDED_TYPE = 'ended' as const;
 
 const endedSchema = z.looseObject({
@@ -62,7 +62,7 @@
   progressSchema.transform((progress) => ({ type: 'progress' as const, progress })),
 ]);
 
-/** A record of a job, told apart by its key. */
+/** A decoded record of a job; its type follows from the record's key and value. */
 export type JobRecord =
   | { readonly type: 'spec'; readonly jobId: string; readonly spec: DurableJobSpec }
   | { readonly type: 'progress'; readonly jobId: string; readonly progress: JobProgress }
@@ -70,8 +70,9 @@
   | { readonly type: 'other' };
 
 /**
- * Encodes what a caller submitted; this record is written once, and dropped when the job has ended.
- * @param spec - The job.
+ * Encodes the specification of a job. The record is written once and removed when the job has
+ * ended.
+ * @param spec - The specification.
  * @returns The record.
  */
 export function encodeJobSpec(spec: DurableJobSpec): KeyedRecord {
@@ -81,7 +82,7 @@
 /**
  * Encodes the progress of a job.
  * @param row - The job.
- * @returns The record, which replaces the job's earlier progress.
+ * @returns The record, which replaces the job's earlier progress record.
  */
 export function encodeJobProgress(row: DurableJobRow): KeyedRecord {
   const key = `${PROGRESS_PREFIX}${row.spec.jobId}`;
@@ -89,8 +90,9 @@
 }
 
 /**
- * Encodes the end of a job. It replaces the job's progress, and with it the specification may go.
- * @param ended - The end.
+ * Encodes an ended job. The record replaces the job's progress record; the job's specification
+ * can be removed with it.
+ * @param ended - The ended job.
  * @returns The record.
  */
 export function encodeEndedJob({ jobId, state }: EndedJob): KeyedRecord {
@@ -99,18 +101,18 @@
 }
 
 /**
- * Encodes that the specification of a job is no longer kept.
+ * Encodes the removal of a job's specification.
  * @param jobId - Id of the job.
- * @returns Its key without a value.
+ * @returns The record of the specification's key, without a value.
  */
 export function encodeSpecRemoval(jobId: string): KeyedRecord {
   return { key: `${SPEC_PREFIX}${jobId}`, value: undefined };
 }
 
 /**
- * Lists the records that drop a job from the store.
+ * Encodes the removal of all records of a job.
  * @param jobId - Id of the job.
- * @returns Its keys without values.
+ * @returns The records of the job's keys, without values.
  */
 export function encodeJobRemoval(jobId: string): readonly KeyedRecord[] {
   return [{ key: `${PROGRESS_PREFIX}${jobId}`, value: undefined }, encodeSpecRemoval(jobId)];
@@ -119,8 +121,8 @@
 /**
  * Decodes a record of a pool's partition.
  * @param record - The record.
- * @returns What it holds; `other` where its key is none of a job.
- * @throws RattanliftError Of kind `internal` where the value does not fit its key.
+ * @returns The decoded record; of type `other` if it has no value or its key is not that of a job.
+ * @throws RattanliftError Of kind `internal` if the value does not match the key's schema.
  */
 export function decodeJobRecord(record: KeyedRecord): JobRecord {
   const { key, value } = record;
--- a/src/jobs/jobProgress.ts
+++ b/src/jobs/jobProgress.ts
@@ -7,7 +7,7 @@
 
 const count = z.int().nonnegative();
 
-/** One letter a task, in the order of the job's tasks. */
+/** Letter of each phase in {@link JobProgress.phases}. */
 const PHASE_LETTERS: Readonly<Record<TaskPhase, string>> = { waiting: 'w', placed: 'p', done: 'd' };
 const PHASES: ReadonlyMap<string, TaskPhase> = new Map([
   ['w', 'waiting'],
@@ -15,36 +15,37 @@
   ['d', 'done'],
 ]);
 
-/** Schema of a job's progress as its record keeps it. */
+/** Schema of a job's stored progress. */
 export const progressSchema = z.looseObject({
   state: durableJobStateSchema,
   finishedAtMs: z.number().optional(),
-  /** A letter for each task. */
+  /** One letter per task, in the order of the job's tasks. */
   phases: z.string().regex(/^[wpd]*$/),
-  /** Number of each task's latest start. */
+  /** Number of each task's latest run. */
   runs: z.array(count),
-  /** Targets of the placed tasks, each once. */
+  /** Distinct targets of the placed tasks. */
   targetIds: z.array(z.string()),
-  /** For each placed task, in order, the place of its target in `targetIds`. */
+  /** For each placed task, in order, the index of its target in `targetIds`. */
   targetOf: z.array(count),
-  /** Place and failures of each task that has failed. */
+  /** Position and failure count of each task that has failed. */
   failures: z.array(z.tuple([count, count])),
-  /** Place and crashes of each task that may have crashed a target. */
+  /** Position and crash count of each task that may have crashed a target. */
   crashes: z.array(z.tuple([count, count])).default([]),
-  /** Place and saved progress of each task that has saved some. */
+  /** Position and checkpoint of each task that has a checkpoint. */
   checkpoints: z.array(z.tuple([count, z.string()])),
 });
 
 /**
- * Progress of a job as its record keeps it, by column.
+ * Stored progress of a job, in columns.
  *
- * What the job's specification says already, as names and order of its tasks, is left out: with one
- * object a task the record of a job of 16 tasks took 2.4 KB, by column it takes 0.2 KB. Each start
- * and each end writes one, and an entry VM may have a link of 10 Mbit/s.
+ * Data that follows from the job's specification, such as the names and order of the tasks, is
+ * omitted. For a job of 16 tasks, a record with one object per task takes 2.4 KB; in columns it
+ * takes 0.2 KB. Each start and each end of a task writes a record, and an entry VM may have a link
+ * of 10 Mbit/s.
  */
 export type JobProgress = z.output<typeof progressSchema>;
 
-/** Lists the places of the tasks for which something is kept. */
+/** Lists the positions and values of the tasks for which `read` returns a value. */
 function listKept<Value>(
   tasks: readonly TaskRow[],
   read: (task: TaskRow) => Value | undefined,
@@ -56,9 +57,9 @@
 }
 
 /**
- * Packs the progress of a job for its record.
+ * Converts the progress of a job to its stored form.
  * @param row - The job.
- * @returns Its progress by column.
+ * @returns The progress in columns.
  */
 export function packProgress({ state, finishedAtMs, tasks }: DurableJobRow): JobProgress {
   const used = tasks.filter(({ phase }) => phase === 'placed').map(({ targetId }) => targetId!);
@@ -77,11 +78,12 @@
 }
 
 /**
- * Joins what a caller submitted with its stored progress.
- * @param spec - The job.
- * @param progress - Its progress; undefined where nothing was stored of it.
+ * Restores the row of a job from its specification and its stored progress.
+ * @param spec - Specification of the job.
+ * @param progress - Stored progress; undefined if none has been stored.
  * @returns The row of the job.
- * @throws RattanliftError Of kind `internal` where the progress is that of other tasks.
+ * @throws RattanliftError Of kind `internal` if the number of phases or runs is not that of the
+ * tasks.
  */
 export function restoreJobRow(
   spec: DurableJobSpec,
@@ -91,7 +93,10 @@
   if (progress === undefined) return row;
   const { state, finishedAtMs, phases, runs, targetIds, targetOf } = progress;
   if (phases.length !== row.tasks.length || runs.length !== row.tasks.length) {
-    throwError('internal', `Progress of ${spec.jobId} has ${phases.length} tasks.`);
+    throwError(
+      'internal',
+      `Stored progress of job ${spec.jobId} does not match its steps: ${phases.length} tasks.`,
+    );
   }
   const failures = new Map(progress.failures);
   const crashes = new Map(progress.crashes);
--- a/src/jobs/progressJob.ts
+++ b/src/jobs/progressJob.ts
@@ -11,9 +11,9 @@
 }
 
 /**
- * Gives a waiting task to a target, under its next run number.
+ * Places a waiting task on a target and increments its run number.
  * @param row - The job.
- * @param position - Place of the task among the job's tasks.
+ * @param position - Position of the task among the job's tasks.
  * @param targetId - The target.
  * @returns The job with the task placed.
  */
@@ -24,16 +24,16 @@
 }
 
 /**
- * Takes a task back from its target, for a start that did not happen.
+ * Returns a placed task to the phase `waiting` because its start did not happen.
  * @param row - The job.
- * @param position - Place of the task among the job's tasks.
+ * @param position - Position of the task among the job's tasks.
  * @returns The job with the task waiting.
  */
 export function unplaceTask(row: DurableJobRow, position: number): DurableJobRow {
   return replaceTask(row, position, freeTask(row.tasks[position]!));
 }
 
-/** Lists the places of a task and of those that work only together with it. */
+/** Lists the positions of all members of the task's gang, or of the task alone. */
 function listTogether(row: DurableJobRow, position: number): readonly number[] {
   const { occurrence, step } = row.tasks[position]!;
   if (!row.spec.steps[step]!.isGang) return [position];
@@ -62,19 +62,20 @@
   return isCompleted ? { ...row, state: 'completed', finishedAtMs: nowMs } : row;
 }
 
-/** A run that ended. */
+/** How a run ended. */
 export interface RunEnd {
   readonly end: TaskEnd;
   readonly checkpoint: string | undefined;
 }
 
 /**
- * Takes note of the end of a task's run.
+ * Records the end of a task's run.
  * @param row - The job.
- * @param position - Place of the task among the job's tasks.
- * @param runEnd - How the run ended, and what it saved.
+ * @param position - Position of the task among the job's tasks.
+ * @param runEnd - How the run ended and the checkpoint that it saved.
  * @param nowMs - Wall-clock time in milliseconds since the Unix epoch.
- * @returns The job with the task done or waiting, and with its final state where this end decides.
+ * @returns The job with the task done or waiting, and in its final state if the run completed or
+ * failed the job.
  */
 export function endRun(
   row: DurableJobRow,
@@ -85,7 +86,7 @@
   const ended = endTask(row, position, end);
   const settleMember = (task: TaskRow): TaskRow => {
     const saved = { ...task, checkpoint: checkpoint ?? task.checkpoint };
-    // The members of a gang are done together, and one end stands for all of them.
+    // The members of a gang finish together, so the end of one member applies to all of them.
     return ended.phase === 'done' ? { ...freeTask(saved), phase: 'done' } : saved;
   };
   const tasks = listTogether(row, position).reduce<readonly TaskRow[]>(
@@ -96,21 +97,21 @@
   return settle({ ...row, tasks }, position, nowMs);
 }
 
-/** What follows for a task from the crash of a target that it was on. */
+/** Consequences of a target's crash for a task that was placed on it. */
 export interface TaskCrash {
-  /** Crashes that the task may have caused, with this one where it may have caused it. */
+  /** Number of crashes that the task may have caused, including this one if applicable. */
   readonly crashCount: number;
-  /** Whether the task is not to be started again, so that its job fails. */
+  /** Whether the task must not be started again, which fails its job. */
   readonly isTaskGivenUp: boolean;
 }
 
 /**
- * Takes note of what the crash of a target says of a task.
+ * Records the crash of a target for a task that was placed on it.
  * @param row - The job.
- * @param position - Place of the task among the job's tasks.
- * @param crash - What follows for the task.
+ * @param position - Position of the task among the job's tasks.
+ * @param crash - Consequences for the task.
  * @param nowMs - Wall-clock time in milliseconds since the Unix epoch.
- * @returns The job, failed where the task is given up.
+ * @returns The job, in state `failed` if the task is given up.
  */
 export function noteCrash(
   row: DurableJobRow,
@@ -124,10 +125,10 @@
 }
 
 /**
- * Lists the placed tasks that cannot work without a task, because they are one gang with it.
+ * Lists the other placed tasks of a task's gang, which cannot work without it.
  * @param row - The job.
- * @param position - Place of the task among the job's tasks.
- * @returns Places of the others; none where the task is no member of a gang.
+ * @param position - Position of the task among the job's tasks.
+ * @returns Positions of the other tasks; empty if the task does not belong to a gang.
  */
 export function listGangMates(row: DurableJobRow, position: number): readonly number[] {
   return listTogether(row, position).filter(
@@ -136,10 +137,10 @@
 }
 
 /**
- * Cancels a job; its runs still have to be stopped.
+ * Cancels a job. The caller still has to stop the job's runs.
  * @param row - The job.
  * @param nowMs - Wall-clock time in milliseconds since the Unix epoch.
- * @returns The cancelled job, or the same one where it was finished already.
+ * @returns The cancelled job, or the unchanged job if it was already finished.
  */
 export function cancelJob(row: DurableJobRow, nowMs: number): DurableJobRow {
   return isFinished(row) ? row : { ...row, state: 'cancelled', finishedAtMs: nowMs };
@@ -148,8 +149,8 @@
 /**
  * Finds a task of a job.
  * @param row - The job.
- * @param task - Occurrence, step and index.
- * @returns Its place among the job's tasks, or -1.
+ * @param task - Occurrence, step and index of the task.
+ * @returns Position of the task among the job's tasks, or -1 if the job has no such task.
  */
 export function findTask(
   row: DurableJobRow,
--- a/src/queues/ConfigurationFollower.ts
+++ b/src/queues/ConfigurationFollower.ts
@@ -12,29 +12,29 @@
   readonly key: string;
   /**
    * Decodes a configuration.
-   * @throws RattanliftError Of kind `settings-invalid` with the field at fault.
+   * @throws RattanliftError Of kind `settings-invalid` with the invalid field.
    */
   readonly decode: (value: Uint8Array) => QueueConfiguration;
   readonly events: EventLog;
-  /** Takes the other records of the topic. */
+  /** Receives the records of the topic that have another key. */
   readonly onOther?: (record: KeyedRecord) => void;
 }
 
 /**
- * How long the store holds a reading back where nothing changes, in milliseconds. A connection that
- * has gone silent shows only by the end of this wait and its time-out, which together have to stay
- * well below the 2 s within which a configuration has to be in force.
+ * Maximum time for which the store delays its response to a read while there are no changes, in
+ * milliseconds. A dead connection is detected only after this wait and the read's timeout. Their
+ * sum has to stay well below the 2 s within which a configuration has to be in force.
  */
 const WAIT_MS = 1_000;
 /**
- * Changes from which on a reader that is behind takes the newest configuration alone. A
- * configuration may have 256 KB, and 60 of them take 9 s on a link of 14 Mbit/s.
+ * Number of missed changes from which the follower reads only the newest configuration. A
+ * configuration may have 256 KB; reading 60 of them takes 9 s on a link of 14 Mbit/s.
  */
 const MAX_BEHIND_COUNT = 4;
-/** Pause after a failed reading, in milliseconds: several tries within the bound of 2 s. */
+/** Pause after a failed read, in milliseconds; allows several retries within the limit of 2 s. */
 const RETRY_PAUSE_MS = 150;
 
-/** Keeps the newest configuration that operators have published. */
+/** Follows the topic of configurations and keeps the newest one that operators have published. */
 export class ConfigurationFollower {
   private readonly options: ConfigurationFollowerOptions;
 
@@ -48,7 +48,7 @@
 
   /**
    * Creates a follower without a configuration.
-   * @param options - Where configurations are published.
+   * @param options - Store, location and decoder of the configurations.
    */
   constructor(options: ConfigurationFollowerOptions) {
     this.options = options;
@@ -66,25 +66,25 @@
 
   /**
    * Gets the configuration in force.
-   * @returns The configuration, or undefined before the first one was read.
+   * @returns The configuration, or undefined until the first one has been read.
    */
   get(): QueueConfiguration | undefined {
     return this.configuration;
   }
 
-  /** Begins to follow. */
+  /** Starts to read configurations. */
   start(): void {
     void this.run();
   }
 
-  /** Ends after the reading in progress. */
+  /** Stops after the read in progress. */
   stop(): void {
     this.isStopped = true;
   }
 
   private async run(): Promise<void> {
     while (!this.isStopped) {
-      // eslint-disable-next-line no-await-in-loop -- one reading follows the other
+      // eslint-disable-next-line no-await-in-loop -- reads are sequential
       await this.read();
     }
   }
@@ -114,7 +114,7 @@
     }
   }
 
-  /** Guards against a step back: a reload may meet an older record than one that is in force. */
+  /** Ignores versions that are not newer, since a reload may return an outdated record. */
   private accept(next: QueueConfiguration): void {
     if (this.configuration !== undefined && next.version <= this.configuration.version) return;
     this.configuration = next;
--- a/src/queues/QueueConfiguration.ts
+++ b/src/queues/QueueConfiguration.ts
@@ -1,24 +1,24 @@
 import type { QueueTerms } from '../jobs/index.js';
 
-/** A queue and how callers reach it. */
+/** A queue and the host and path under which callers reach it. */
 export interface QueueRoute {
-  /** Host that callers name. */
+  /** Host in the caller's request. */
   readonly host: string;
-  /** Paths that begin so belong to the queue, unless a longer prefix fits. */
+  /** Paths with this prefix belong to the queue unless a longer prefix also matches. */
   readonly pathPrefix: string;
   readonly terms: QueueTerms;
 }
 
-/** A pool of targets of the configuration. */
+/** A pool of targets. */
 export interface PoolDefinition {
   readonly pool: string;
-  /** Whether the pool's VMs are switched off and serve as a reserve of the others. */
+  /** Whether the pool's VMs are switched off and serve as a reserve for the other pools. */
   readonly isStandby: boolean;
 }
 
-/** What operators have published, whole. */
+/** A complete configuration of queues and pools, as published by operators. */
 export interface QueueConfiguration {
-  /** Grows with each publication, by any step. */
+  /** Increases with each publication; versions need not be consecutive. */
   readonly version: number;
   readonly queues: readonly QueueRoute[];
   readonly pools: readonly PoolDefinition[];
@@ -27,9 +27,9 @@
 /**
  * Finds the queue of a request.
  * @param configuration - The configuration in force.
- * @param host - Host that the caller named.
+ * @param host - Host of the request.
  * @param path - Path of the request.
- * @returns The queue with the longest prefix that fits, or undefined.
+ * @returns The queue with the longest matching prefix, or undefined if none matches.
  */
 export function findQueue(
   configuration: QueueConfiguration,
--- a/tests/jobs/jobProgress.test.ts
+++ b/tests/jobs/jobProgress.test.ts
@@ -13,7 +13,7 @@
 
 function storeAndRestore(row: ReturnType<typeof createJobRow>): ReturnType<typeof createJobRow> {
   const record = decodeJobRecord(encodeJobProgress(row));
-  if (record.type !== 'progress') throw new Error(`It is a record of type ${record.type}.`);
+  if (record.type !== 'progress') throw new Error(`Expected progress, got ${record.type}.`);
   return restoreJobRow(row.spec, record.progress);
 }
 
@@ -35,8 +35,9 @@
     expect(storeAndRestore(done)).toMatchObject({ state: 'completed', finishedAtMs: 77 });
   });
 
-  // A home on a link of 10 Mbit/s fell behind in a rush: the record of a job of 16 tasks took
-  // 2.4 KB and was written with each of their starts and ends, about 1,600 times a second.
+  // Guards against a home that falls behind at a load peak on a link of 10 Mbit/s: the record of a
+  // job of 16 tasks took 2.4 KB and was written at each task's start and end, about 1,600 times a
+  // second.
   it('keeps the record of a job of 16 running tasks below 400 bytes', () => {
     const running = Array.from({ length: 16 }, (_t, position) => position).reduce(
       (row, position) => placeTask(row, position, `i-${position}0123456789`),
@@ -47,7 +48,9 @@
 
   it('refuses the progress of other tasks', () => {
     const record = decodeJobRecord(encodeJobProgress(createJobRow(makeJob('j1'))));
-    if (record.type !== 'progress') throw new Error('It is no progress.');
-    expect(() => restoreJobRow(spec, record.progress)).toThrow('Progress of j1 has 1 tasks.');
+    if (record.type !== 'progress') throw new Error('Expected a progress record.');
+    expect(() => restoreJobRow(spec, record.progress)).toThrow(
+      'Stored progress of job j1 does not match its steps: 1 tasks.',
+    );
   });
 });
--- a/tests/queues/ConfigurationFollower.test.ts
+++ b/tests/queues/ConfigurationFollower.test.ts
@@ -39,7 +39,7 @@
     followers.splice(0).forEach((follower) => follower.stop());
   });
 
-  it('has none before the first was published, and takes each newer one', async () => {
+  it('has no configuration before the first publication and adopts each newer one', async () => {
     const store = new StoreStandIn({ partitionCount: 1 });
     const follower = follow(store);
     expect(follower.get()).toBeUndefined();
@@ -62,7 +62,7 @@
     expect(inForce.map(({ fields }) => fields.version)).toEqual([7, 8]);
   });
 
-  it('keeps the one in force where the next cannot be read', async () => {
+  it('keeps the configuration in force if the next one cannot be decoded', async () => {
     const store = new StoreStandIn({ partitionCount: 1 });
     const events = new MemoryEventLog();
     const follower = follow(store, events);
@@ -88,8 +88,9 @@
     await vi.waitFor(() => expect(follower.get()?.version).toBe(4));
   });
 
-  // An instance refused queues that had been added 9 s before: in a burst of changes it was cut off
-  // for 20 s, and then read all 60 configurations in between, of 256 KB each, on a narrow link.
+  // Guards against an instance that refuses queues that were added 9 s before: it is cut off from
+  // the store for 20 s during a burst of changes, and then reads all 60 missed configurations of
+  // 256 KB each on a narrow link.
   it('reads the newest configuration alone after a burst of changes that it has missed', async () => {
     const store = new StoreStandIn({ partitionCount: 1 });
     const access = new StoreAccess(store);
