--- a/src/fleetHome/EndedLifetimes.ts
+++ b/src/fleetHome/EndedLifetimes.ts
@@ -7,25 +7,25 @@
 export interface EndedLifetimesOptions {
   readonly clock: Clock;
   readonly events: EventLog;
-  /** Tells whether a VM is away because of an order. */
+  /** Tells whether an order for a VM is active. */
   readonly isAway: (vm: string) => boolean;
 }
 
-/** How long homes are told of a lifetime that is over, in milliseconds: a takeover takes 2.5 s. */
+/** How long an ended lifetime is reported to homes, in milliseconds; a takeover takes 2.5 s. */
 const TELL_ENDED_MS = 10_000;
-/** VMs of one rack that are lost in one look from which on the rack is to blame, not the tasks. */
+/** Number of crashes in one rack between two lists from which the rack is blamed, not the tasks. */
 const LOST_WITH_RACK = 3;
-/** The same where no VM of the rack is left. */
+/** Same as {@link LOST_WITH_RACK} for a rack in which no VM is up any more. */
 const LOST_AS_LAST = 2;
 
-/** A VM before and after a look. */
+/** A VM in the previous and in the current list. */
 interface VmChange {
   readonly before: FleetVm;
   readonly now: FleetVm;
 }
 
 interface Ended {
-  /** Monotonic time of the list that showed the end. */
+  /** Monotonic time at which the end was found. */
   readonly endedAtMs: number;
   readonly isCrash: boolean;
   readonly isWithRack: boolean;
@@ -35,31 +35,31 @@
   return before.targetId !== undefined && before.targetId !== now.targetId;
 }
 
-/** A VM that is moved or maintained shows so, or is in another pool afterwards. */
+/** Whether the lists show a move or a maintenance: by the VM's state or by a change of its pool. */
 function looksOrdered({ before, now }: VmChange): boolean {
   const isElsewhere = now.state === 'moving' || now.state === 'in-maintenance';
   return isElsewhere || before.state !== 'up' || before.pool !== now.pool;
 }
 
-/** Finds out from lists of VMs which lifetimes are over, and which of them by a crash. */
+/** Detects ended lifetimes and crashes by comparing successive lists of VMs. */
 export class EndedLifetimes {
   private readonly options: EndedLifetimesOptions;
 
-  /** VMs as listed last. */
+  /** VMs of the latest list, by name. */
   private readonly known = new Map<string, FleetVm>();
 
   private readonly ended = new Map<string, Ended>();
 
   /**
-   * Starts without VMs.
-   * @param options - What is known of orders.
+   * Creates a detector that has seen no list.
+   * @param options - Clock, event log and active orders.
    */
   constructor(options: EndedLifetimesOptions) {
     this.options = options;
   }
 
   /**
-   * Compares a list of VMs with the one before.
+   * Compares a list of VMs with the previous one.
    * @param vms - The VMs.
    */
   note(vms: readonly FleetVm[]): void {
@@ -73,8 +73,8 @@
   }
 
   /**
-   * Lists the lifetimes that were listed and are not any more.
-   * @returns The lifetimes; told for long enough to reach every home.
+   * Lists the lifetimes that have ended.
+   * @returns The lifetimes; each is listed for 10 s, long enough to reach every home.
    */
   list(): EndedTargets {
     const nowMs = this.options.clock.monotonicMs();
@@ -91,8 +91,8 @@
   }
 
   /**
-   * Guards against tasks that are given up for the loss of a rack or of power: their targets crash
-   * again and again, yet not under them alone.
+   * Records ended lifetimes and classifies them. Crashes that come from the loss of a rack or of
+   * power are marked, so that tasks whose targets crash repeatedly are not given up for them.
    */
   private noteEnds(changes: readonly VmChange[], vms: readonly FleetVm[]): void {
     const endedAtMs = this.options.clock.monotonicMs();
--- a/src/fleetHome/FleetHome.ts
+++ b/src/fleetHome/FleetHome.ts
@@ -31,47 +31,47 @@
   readonly clock: Clock;
   readonly events: EventLog;
   readonly mechanisms: Mechanisms;
-  /** Time that has to pass between the orders of two holders for one VM, in milliseconds. */
+  /** Minimum time between the orders of two holders for one VM, in milliseconds. */
   readonly orderLeaseMs: number;
-  /** Progress of waves as an earlier home has stored it. */
+  /** Progress of the waves, as stored by an earlier home. */
   readonly waveRecords: readonly WaveRecord[];
-  /** Most VMs that each pool has used, as earlier homes have stored it. */
+  /** Peak VM count of each pool, as stored by earlier homes. */
   readonly peakRecords: readonly PoolPeak[];
-  /** Latest orders for VMs as earlier homes have stored them. */
+  /** Latest orders for VMs, as stored by earlier homes. */
   readonly orderRecords: readonly VmOrderRecord[];
   readonly listWaveOrders: () => readonly WaveOrder[];
-  /** Pools whose VMs work. */
+  /** Lists the pools whose VMs run tasks. */
   readonly listPools: () => readonly string[];
-  /** Pools whose VMs are switched off until they are moved elsewhere. */
+  /** Lists the pools whose VMs are switched off until they are moved to another pool. */
   readonly listStandbyPools: () => readonly string[];
   /**
-   * Tells the home of a pool which targets get no new task and which are gone, and asks for its
+   * Sends the drained targets and the ended lifetimes to the home of a pool and requests the pool's
    * demand.
-   * @returns The demand, or undefined where no home answered.
+   * @returns The demand, or undefined if no home answered.
    */
   readonly syncPool: (
     pool: string,
     drainedTargets: readonly string[],
     ended: EndedTargets,
   ) => Promise<PoolDemand | undefined>;
-  /** Stores records of this home; rejects where it has been replaced. */
+  /** Stores records of this home; rejects if the home has been replaced. */
   readonly store: (records: readonly KeyedRecord[]) => Promise<void>;
   readonly publishStatus: (wave: number, status: WaveStatus) => Promise<void>;
   readonly onReplaced: () => void;
 }
 
-/** Pause between two looks at the fleet, in milliseconds: a move takes 1.5 s, a rush lasts 5. */
+/** Pause between two passes, in milliseconds; a move takes 1.5 s, a load peak lasts 5 s. */
 const LOOK_EVERY_MS = 200;
 
-/** Time within which a VM has to be empty to move, in milliseconds: tasks last one or two s. */
+/** Time within which a VM must be empty to be moved, in milliseconds; tasks last 1 to 2 s. */
 const EMPTY_WITHIN_MS = 3_000;
 
 interface LeavingVm extends VmMove {
-  /** Monotonic time after which the move is given up. */
+  /** Monotonic time after which the move is abandoned. */
   readonly untilMs: number;
 }
 
-/** The one instance that orders moves and maintenance of VMs, in a term. */
+/** Orders the moves and the maintenance of VMs. A term has one home of the fleet. */
 export class FleetHome {
   private readonly options: FleetHomeOptions;
 
@@ -79,7 +79,7 @@
 
   private readonly waves: WaveCoordinator;
 
-  /** VMs that are emptied before they move. */
+  /** Planned moves whose VMs are being drained, by VM. */
   private readonly leaving = new Map<string, LeavingVm>();
 
   private readonly lifetimes: EndedLifetimes;
@@ -94,12 +94,12 @@
 
   private readonly peaks: PoolPeaks;
 
-  /** What pools keep by the peaks that are stored. */
+  /** Number of VMs that each pool keeps according to the stored peaks. */
   private storedKeptCounts: ReadonlyMap<string, number>;
 
   /**
-   * Creates a home that does nothing yet.
-   * @param options - The VMs, the pools and the waves.
+   * Creates a home, which is inactive until {@link start} is called.
+   * @param options - VM platform, pools, waves and stored state.
    */
   constructor(options: FleetHomeOptions) {
     this.options = options;
@@ -119,23 +119,23 @@
     this.waves = new WaveCoordinator({ ...options, orders: this.orders, records: waveRecords });
   }
 
-  /** Begins to look at the fleet again and again. */
+  /** Starts the periodic passes over the fleet. */
   start(): void {
     void this.run();
   }
 
-  /** Ends; orders in progress are not taken back. */
+  /** Stops the passes; orders in progress are not revoked. */
   close(): void {
     this.isClosed = true;
   }
 
   private async run(): Promise<void> {
     while (!this.isClosed) {
-      // eslint-disable-next-line no-await-in-loop -- one look follows the other
+      // eslint-disable-next-line no-await-in-loop -- passes are sequential
       await this.look().catch((thrown: unknown) => {
         this.options.events.write('fleetLookFailed', { reason: String(thrown) });
       });
-      // eslint-disable-next-line no-await-in-loop -- the pause belongs between two looks
+      // eslint-disable-next-line no-await-in-loop -- the pause separates two passes
       await sleep(LOOK_EVERY_MS);
     }
   }
@@ -167,7 +167,7 @@
     }
   }
 
-  /** Stores the peaks of pools that keep another count of VMs than those stored say. */
+  /** Stores the peaks of the pools whose number of kept VMs differs from the stored state. */
   private storePeaks(): void {
     const keptCounts = this.peaks.getKeptCounts();
     const changed = this.peaks
@@ -175,7 +175,7 @@
       .filter(({ pool }) => keptCounts.get(pool) !== this.storedKeptCounts.get(pool));
     if (changed.length === 0) return;
     this.storedKeptCounts = keptCounts;
-    // A writer that was replaced has told so; the next home then keeps what was stored before.
+    // The writer reports that it was replaced; the next home starts from the peaks stored before.
     this.options.store(changed.map(encodePoolPeakRecord)).catch(() => undefined);
   }
 
@@ -183,7 +183,7 @@
     return indexLoads(this.demands);
   }
 
-  /** Tells homes of pools which VMs get no new tasks; the demands of those that answer. */
+  /** Sends the drained targets to the homes of pools; returns the demands of those that answer. */
   private async syncPools(
     vms: readonly FleetVm[],
     pools: readonly string[],
@@ -214,7 +214,7 @@
       .filter((targetId) => targetId !== undefined);
   }
 
-  /** Plans further moves, and orders those whose VMs are empty. */
+  /** Plans further moves and orders the moves whose VMs are empty. */
   private async moveVms(vms: readonly FleetVm[]): Promise<void> {
     const { clock, events } = this.options;
     const nowMs = clock.monotonicMs();
@@ -243,11 +243,11 @@
   }
 
   /**
-   * Orders the moves whose VMs are empty, once more those without an answer.
+   * Orders the moves whose VMs are empty and repeats the moves that got no answer.
    *
-   * Guards against a VM that stands still until the next change of homes: a move that got no answer
-   * and was never carried out counted as on its way for good. A repeat of one that was carried out
-   * changes nothing.
+   * Without the repeat, a move that got no answer and was never carried out would count as in
+   * progress, and its VM would stay unused, until the next change of homes. Repeating a move that
+   * was carried out has no effect.
    */
   private async orderMoves(
     vms: readonly FleetVm[],
@@ -262,21 +262,21 @@
       this.orders.give({ type: 'move', vm, toPool: moves.get(vm)! }, targetId),
     );
     empty.forEach(({ vm }) => this.leaving.delete(vm));
-    // One that does not fall idle in time stays; it may be chosen again.
+    // A VM that is not empty in time stays in its pool and may be selected again.
     [...this.leaving]
       .filter(([, { untilMs }]) => untilMs < nowMs)
       .forEach(([vm]) => this.leaving.delete(vm));
     await Promise.all(ordered);
   }
 
-  /** Pools of the VMs that are to leave, or may have to be ordered once more. */
+  /** Maps VMs whose move has to be ordered or repeated to the pools that they move to. */
   private listDueMoves(): ReadonlyMap<string, string> {
     const { orders, leaving } = this;
     const unanswered = orders.listUnansweredMoves().filter((order) => orders.isDueAgain(order));
     return new Map([...leaving.values(), ...unanswered].map(({ vm, toPool }) => [vm, toPool]));
   }
 
-  /** Asks again after new tasks are kept off: only then does an empty target stay empty. */
+  /** Requests the loads again once the VMs get no new tasks; only then do empty targets stay so. */
   private async askLeaving(
     vms: readonly FleetVm[],
     moves: readonly VmMove[],
@@ -286,19 +286,19 @@
     return indexLoads(await this.syncPools(vms, pools));
   }
 
-  /** VMs that get no new task: a wave is about to take them, or they leave, or may yet leave. */
+  /** Lists VMs that get no new task: a wave or a move drains them, or a move is unanswered. */
   private listDrained(): ReadonlySet<string> {
     const mayLeave = this.orders.listUnansweredMoves().map(({ vm }) => vm);
     return new Set([...this.waves.listDrained(), ...this.leaving.keys(), ...mayLeave]);
   }
 
-  /** VMs that are not to be moved: drained already, away, or just ordered by an earlier home. */
+  /** Lists VMs that must not be moved: drained, under an active order or under an earlier lease. */
   private listHeld(): ReadonlySet<string> {
     const away = this.orders.listAway().map(({ vm }) => vm);
     return new Set([...this.listDrained(), ...away, ...this.orders.listTooEarly()]);
   }
 
-  /** VMs that are only left alone: neither drained nor away, they work on where they are. */
+  /** Lists VMs under an earlier lease that are neither drained nor ordered and run tasks. */
   private listStaying(): ReadonlySet<string> {
     const drained = this.listDrained();
     return new Set(
@@ -313,7 +313,7 @@
     this.orders.listAway().forEach((order) => {
       if (order.type === 'move') note(order.toPool);
     });
-    // A VM that an earlier home has moved is on its way without an order of this one.
+    // A VM that an earlier home has moved is in transit without an active order of this home.
     vms
       .filter(({ vm, state }) => state === 'moving' && !this.orders.isAway(vm))
       .forEach(({ pool }) => note(pool));
--- a/src/fleetHome/PoolPeakRecord.ts
+++ b/src/fleetHome/PoolPeakRecord.ts
@@ -10,7 +10,7 @@
 });
 
 /**
- * Encodes the most VMs that a pool has used, for the next home of the fleet.
+ * Encodes the peak VM count of a pool, for the next home of the fleet.
  * @param peak - The peak.
  * @returns Its record.
  */
@@ -19,10 +19,10 @@
 }
 
 /**
- * Decodes the most VMs that a pool has used.
+ * Decodes the peak VM count of a pool.
  * @param record - A record of the partition of the fleet's home.
- * @returns The peak, or undefined where the record is about something else.
- * @throws RattanliftError Of kind `internal` where it is malformed.
+ * @returns The peak, or undefined if the record has another type.
+ * @throws RattanliftError Of kind `internal` if the record is malformed.
  */
 export function decodePoolPeakRecord(record: KeyedRecord): PoolPeak | undefined {
   return decodeRecordOf(PREFIX, recordSchema, record);
--- a/src/fleetHome/PoolReporter.ts
+++ b/src/fleetHome/PoolReporter.ts
@@ -9,31 +9,31 @@
   readonly clock: Clock;
 }
 
-/** How often the pools are told of, in milliseconds: a rush lasts some seconds. */
+/** Interval between two reports, in milliseconds; a load peak lasts several seconds. */
 const TELL_EVERY_MS = 1_000;
 const MILLICORES_PER_CORE = 1_000;
 
 const toCores = (millicores: number): number => Math.round(millicores / MILLICORES_PER_CORE);
 
-/** Tells at intervals what every pool has and needs, from which a day can be read afterwards. */
+/** Logs the capacity and demand of every pool at intervals, for later analysis of a day. */
 export class PoolReporter {
   private readonly options: PoolReporterOptions;
 
   private toldAtMs = Number.NEGATIVE_INFINITY;
 
   /**
-   * Starts without a line.
-   * @param options - Log and clock.
+   * Creates a reporter that has logged nothing.
+   * @param options - Event log and clock.
    */
   constructor(options: PoolReporterOptions) {
     this.options = options;
   }
 
   /**
-   * Takes note of a look at the fleet.
-   * @param demands - What the homes of the pools have told.
+   * Logs the state of the pools if the interval since the last report has elapsed.
+   * @param demands - Demands reported by the homes of the pools.
    * @param vms - The VMs as listed.
-   * @param heldVms - VMs that get no new tasks, or must not be moved.
+   * @param heldVms - VMs that get no new tasks or must not be moved.
    */
   note(
     demands: readonly PoolDemand[],
--- a/src/fleetHome/RecentOrders.ts
+++ b/src/fleetHome/RecentOrders.ts
@@ -5,45 +5,45 @@
 /** Options of {@link RecentOrders}. */
 export interface RecentOrdersOptions {
   readonly clock: Clock;
-  /** Time that has to pass between the orders of two holders for one VM, in milliseconds. */
+  /** Minimum time between the orders of two holders for one VM, in milliseconds. */
   readonly orderLeaseMs: number;
-  /** Latest orders of earlier holders, as they were stored when this one began. */
+  /** Latest orders of earlier holders, as stored when this holder started. */
   readonly orderRecords: readonly VmOrderRecord[];
-  /** Stores records; rejects where this holder has been replaced. */
+  /** Stores records; rejects if this holder has been replaced. */
   readonly store: (records: readonly KeyedRecord[]) => Promise<void>;
 }
 
 interface RecentOrder {
   readonly wave: number | undefined;
-  /** Monotonic time at which the order may have been given last. */
+  /** Latest monotonic time at which the order may have been issued. */
   readonly givenAtMs: number;
 }
 
-/** Margin on the time between the orders of two holders, in milliseconds. */
+/** Safety margin added to the order lease, in milliseconds. */
 const ORDER_MARGIN_MS = 300;
 
 /**
- * Which orders for VMs are so recent that another holder must not order the same VM.
+ * Tracks the orders for VMs whose lease has not ended. While an order is recent in this sense,
+ * another holder must not order the same VM; otherwise two holders could order it in turns.
  *
- * Guards against two holders that take turns on one VM. A successor cannot tell how old a stored
- * order is: the time of day of two holders may be 40 minutes apart, so by a stored time it would
- * take an order of this second for an old one. So a stored order counts as recent until a holder
- * that has waited its lease out, by its steady clock, has stored that. Such a record is rare: one
- * for all orders of a look at the fleet.
+ * A stored time cannot show the age of an order: the wall clocks of two holders may be 40 minutes
+ * apart, so a successor could take an order of this second for an old one. A stored order therefore
+ * counts as recent until a holder has waited for the lease by its monotonic clock and has stored
+ * that the lease is over. These writes are rare: one for all orders of a pass over the fleet.
  */
 export class RecentOrders {
   private readonly options: RecentOrdersOptions;
 
   private readonly recent: Map<string, RecentOrder>;
 
-  /** VMs that an earlier holder has ordered, with the monotonic time until which they are left. */
+  /** Monotonic end of the lease on each VM that an earlier holder has ordered. */
   private readonly heldUntilMs: ReadonlyMap<string, number>;
 
   private isSettling = false;
 
   /**
-   * Takes the orders of earlier holders over: each may have been given at this moment.
-   * @param options - Stored orders, and the lease on each.
+   * Takes over the orders of earlier holders. Each of them may have been issued at this moment.
+   * @param options - Stored orders and the lease time.
    */
   constructor(options: RecentOrdersOptions) {
     this.options = options;
@@ -54,8 +54,8 @@
   }
 
   /**
-   * Lists the VMs that must be left alone for now, since an earlier holder has just ordered them.
-   * @returns Their names.
+   * Lists the VMs that must not be ordered because an earlier holder's lease is still running.
+   * @returns The names of the VMs.
    */
   listHeld(): readonly string[] {
     const nowMs = this.options.clock.monotonicMs();
@@ -63,27 +63,27 @@
   }
 
   /**
-   * Tells whether a VM must be left alone for now.
+   * Tells whether an earlier holder's lease on a VM is still running.
    * @param vm - The VM.
-   * @returns Whether an earlier holder may just have ordered it.
+   * @returns Whether the VM must not be ordered.
    */
   isHeld(vm: string): boolean {
     return this.options.clock.monotonicMs() < (this.heldUntilMs.get(vm) ?? 0);
   }
 
   /**
-   * Takes note that an order may be carried out from now on; called before it is stored, and once
-   * more when its call has ended.
-   * @param order - The order as it is stored.
+   * Records that an order may be carried out from now on. Called before the order is stored and
+   * again after the platform call has ended.
+   * @param order - The order as stored.
    */
   note({ vm, wave }: VmOrderRecord): void {
     this.recent.set(vm, { wave, givenAtMs: this.options.clock.monotonicMs() });
   }
 
   /**
-   * Stores of the orders whose lease is over that they are no longer recent. Of a move nothing is
-   * kept; of a maintenance, that it was ordered.
-   * @returns Resolves once that is stored, or was given up: the next call tries again.
+   * Stores that the orders whose lease is over are no longer recent. The record of a move is
+   * removed; the record of a maintenance is kept and marked as settled.
+   * @returns Resolves once the records are stored or the write has failed; the next call retries.
    */
   async settle(): Promise<void> {
     const overMs = this.options.clock.monotonicMs() - this.leaseMs;
@@ -102,7 +102,7 @@
         .filter(([vm, order]) => this.recent.get(vm) === order)
         .forEach(([vm]) => this.recent.delete(vm));
     } catch {
-      // The writer has told why; the successor takes these orders for recent.
+      // The writer reports the cause; a successor treats these orders as recent.
     } finally {
       this.isSettling = false;
     }
--- a/src/fleetHome/VmOrderRecord.ts
+++ b/src/fleetHome/VmOrderRecord.ts
@@ -1,12 +1,12 @@
 import { z } from 'zod';
 import { decodeRecordOf, encodeRecordValue, type KeyedRecord } from '../store/index.js';
 
-/** What is stored of the latest order for a VM, before the order is given. */
+/** Stored form of the latest order for a VM; written before the order is issued. */
 export interface VmOrderRecord {
   readonly vm: string;
   /** Wave of a maintenance; absent for a move. */
   readonly wave?: number;
-  /** Whether a holder has waited its lease out since; absent counts as no. */
+  /** Whether a holder has since waited for the end of the order's lease; defaults to no. */
   readonly isSettled?: boolean;
 }
 
@@ -28,9 +28,9 @@
 }
 
 /**
- * Encodes that of the latest order for a VM nothing is kept.
+ * Encodes the removal of the latest order for a VM.
  * @param vm - The VM.
- * @returns Its key without a value.
+ * @returns The record of the order's key, without a value.
  */
 export function encodeVmOrderRemoval(vm: string): KeyedRecord {
   return { key: `${PREFIX}${vm}`, value: undefined };
@@ -39,8 +39,8 @@
 /**
  * Decodes the latest order for a VM.
  * @param record - A record of the partition of the fleet's home.
- * @returns The order, or undefined where the record is about something else.
- * @throws RattanliftError Of kind `internal` where it is malformed.
+ * @returns The order, or undefined if the record has another type.
+ * @throws RattanliftError Of kind `internal` if the record is malformed.
  */
 export function decodeVmOrderRecord(record: KeyedRecord): VmOrderRecord | undefined {
   return decodeRecordOf(PREFIX, recordSchema, record);
--- a/src/fleetHome/VmOrders.ts
+++ b/src/fleetHome/VmOrders.ts
@@ -10,7 +10,7 @@
   readonly toPool: string;
 }
 
-/** Something that is to be done to a VM. */
+/** A move or a maintenance of a VM. */
 export type VmOrder =
   VmMoveOrder | { readonly type: 'maintain'; readonly vm: string; readonly wave: number };
 
@@ -24,13 +24,13 @@
 }
 
 /**
- * What became of an order. `unanswered` means that it may have been carried out; `too-early`,
- * `unrecorded` and `outdated` that it was not sent.
+ * Outcome of an order. After `unanswered` it may have been carried out; with `too-early`,
+ * `unrecorded` or `outdated` it was not sent.
  */
 export type VmOrderOutcome =
   'accepted' | VmOrderRefusal | 'unanswered' | 'too-early' | 'unrecorded' | 'outdated';
 
-/** Refusals after which the order, sent once or twice, will never be carried out. */
+/** Refusals after which neither this order nor an earlier copy of it will be carried out. */
 export const NEVER_CARRIED_OUT: ReadonlySet<VmOrderOutcome> = new Set([
   'not-in-wave',
   'impossible',
@@ -40,49 +40,50 @@
   readonly order: VmOrder;
   readonly targetIdBefore: string | undefined;
   readonly orderedAtMs: number;
-  /** When the order was accepted, by the monotonic clock; absent while it has no answer. */
+  /** Monotonic time at which the order was accepted; absent while it has no answer. */
   readonly acceptedAtMs?: number;
 }
 
-/** Age from which the reasons of an order do not hold any more, in milliseconds: five looks. */
+/** Age from which an order may no longer be justified, in milliseconds: five passes of the home. */
 const OUTDATED_AFTER_MS = 1_000;
 /**
- * Age from which the loads do not hold any more by which a VM is empty, in milliseconds: the homes
- * of pools keep tasks off it for 3 s, and the call of the order takes 1 s at most.
+ * Age from which the loads no longer prove that a VM is empty, in milliseconds: the homes of pools
+ * keep tasks off a drained VM for 3 s, and the call to the platform takes at most 1 s.
  */
 const LOADS_OUTDATED_AFTER_MS = 2_000;
-/** Time after an order before which the list of VMs may not show it yet, in milliseconds. */
+/** Time after an order during which the list of VMs may not yet reflect it, in milliseconds. */
 const SETTLE_MS = 700;
 /**
- * Time after an order by which the list shows its VM away or in another lifetime, in milliseconds;
- * one that it shows as it was before has not been changed yet.
+ * Time after an order by which the list shows its effect, in milliseconds: the VM is not up or has
+ * another lifetime. A VM that the list then shows unchanged has not been changed yet.
  */
 const UNCHANGED_AFTER_MS = 1_500;
 
 /**
- * Gives orders for VMs, and knows which VMs are away because of them.
+ * Issues orders for VMs and tracks the active ones. An order is active from before it is sent
+ * until the list of VMs shows its VM back.
  *
- * Guards against two holders that take turns on one VM: the earlier one does not know yet that it
- * was replaced, and the VM is moved back and forth. An order is stored before it is given, so that
- * a holder that was replaced can give none, and its successor knows which VMs it has to leave alone
- * for a while. All others are ordered at once; a pool may wait for them with nearly no VMs.
+ * A holder that does not know yet that it was replaced could order the same VM as its successor,
+ * and the VM would be moved back and forth. Each order is therefore stored before it is sent: a
+ * replaced holder cannot store it, and the successor learns which VMs it must not order until the
+ * lease ends. Other VMs are ordered at once, since a pool may be waiting with nearly no VMs.
  */
 export class VmOrders {
   private readonly options: VmOrdersOptions;
 
   private readonly away = new Map<string, Away>();
 
-  /** Waves of the VMs for whose maintenance by an earlier holder this one has no answer yet. */
+  /** Waves of the maintenance orders of earlier holders whose result is unknown, by VM. */
   private readonly inDoubt: Map<string, number>;
 
   private readonly recent: RecentOrders;
 
-  /** When the loads were asked for by which VMs are empty, by the monotonic clock. */
+  /** Monotonic time of the request for the loads by which VMs are considered empty. */
   private loadsAskedAtMs = Infinity;
 
   /**
-   * Starts without orders.
-   * @param options - The port, and who orders.
+   * Creates an instance without active orders.
+   * @param options - VM platform, holder and stored orders.
    */
   constructor(options: VmOrdersOptions) {
     this.options = options;
@@ -93,7 +94,7 @@
   }
 
   /**
-   * Lists the orders whose VMs are not back yet.
+   * Lists the active orders.
    * @returns The orders.
    */
   listAway(): readonly VmOrder[] {
@@ -101,17 +102,17 @@
   }
 
   /**
-   * Tells whether a VM is away because of an order.
+   * Tells whether an order for a VM is active.
    * @param vm - The VM.
-   * @returns Whether it is.
+   * @returns Whether an order for it is active.
    */
   isAway(vm: string): boolean {
     return this.away.has(vm);
   }
 
   /**
-   * Lists the moves that had no answer. They may be carried out yet, or never.
-   * @returns The orders that no list of VMs has shown to be carried out.
+   * Lists the moves that got no answer, which may still be carried out or never be.
+   * @returns The active moves without an answer.
    */
   listUnansweredMoves(): readonly VmMoveOrder[] {
     return [...this.away.values()]
@@ -121,10 +122,10 @@
   }
 
   /**
-   * Tells whether an order without an answer can be repeated: a list that was asked for now would
-   * show it if it had been carried out.
+   * Tells whether an order without an answer can be repeated, because a list requested now would
+   * show its effect if it had been carried out.
    * @param order - The order.
-   * @returns Whether its time has come.
+   * @returns Whether the order can be repeated.
    */
   isDueAgain({ vm }: VmOrder): boolean {
     const orderedAtMs = this.away.get(vm)?.orderedAtMs ?? Infinity;
@@ -132,43 +133,43 @@
   }
 
   /**
-   * Lists the VMs that must be left alone for now, since an earlier holder has just ordered them.
-   * @returns Their names.
+   * Lists the VMs that must not be ordered because an earlier holder's lease is still running.
+   * @returns The names of the VMs.
    */
   listTooEarly(): readonly string[] {
     return this.recent.listHeld();
   }
 
   /**
-   * Lists the VMs of a wave whose maintenance an earlier holder has ordered. Without an answer it
-   * may be carried out as long as this holder has not ordered it too.
+   * Lists the VMs of a wave whose maintenance an earlier holder has ordered with unknown result. An
+   * order without an answer may be carried out until this holder has ordered the maintenance too.
    * @param wave - Number of the wave.
-   * @returns Their names, also of those whose maintenance is done.
+   * @returns The names of the VMs, including VMs whose maintenance is done.
    */
   listInDoubt(wave: number): readonly string[] {
     return [...this.inDoubt].filter(([, ofWave]) => ofWave === wave).map(([vm]) => vm);
   }
 
   /**
-   * Lets successors know of the orders that are no longer recent.
-   * @returns Resolves once that is stored, or was given up until the next call.
+   * Stores for successors which orders are no longer recent.
+   * @returns Resolves once this is stored or the write has failed; the next call retries.
    */
   settle(): Promise<void> {
     return this.recent.settle();
   }
 
   /**
-   * Takes note of the loads on which orders rest from now on.
-   * @param askedAtMs - When they were asked for, by the monotonic clock.
+   * Sets the time of the loads on which the following orders are based.
+   * @param askedAtMs - Monotonic time at which the loads were requested.
    */
   noteLoads(askedAtMs: number): void {
     this.loadsAskedAtMs = askedAtMs;
   }
 
   /**
-   * Takes note of which VMs are back.
+   * Ends the active orders whose VMs are back according to a list of VMs.
    * @param vms - The VMs as listed.
-   * @param askedAtMs - When the list was asked for, by the monotonic clock.
+   * @param askedAtMs - Monotonic time at which the list was requested.
    */
   noteList(vms: readonly FleetVm[], askedAtMs: number): void {
     vms.forEach(({ vm, state, targetId }) => {
@@ -181,19 +182,20 @@
   }
 
   /**
-   * Guards against a VM that counts as away for good: the platform also accepts an order that is
-   * done already, as a new home repeats it, and then the VM's lifetime stays the same.
+   * Tells whether an accepted order has had no effect. The platform also accepts an order that has
+   * already been carried out, which a new home may repeat. The VM's lifetime then stays the same,
+   * and the order would otherwise stay active forever.
    */
   private static hasChangedNothing({ acceptedAtMs }: Away, askedAtMs: number): boolean {
     return acceptedAtMs !== undefined && askedAtMs - acceptedAtMs >= UNCHANGED_AFTER_MS;
   }
 
   /**
-   * Gives an order. The VM counts as away from before the order is sent, since an order without an
-   * answer may have been carried out; a refused one takes that back.
+   * Issues an order. It is active from before it is sent, since an order without an answer may have
+   * been carried out; a refusal deactivates it again.
    * @param order - The order.
-   * @param targetId - Lifetime of the target on the VM, as listed last.
-   * @returns What became of it.
+   * @param targetId - Lifetime of the target on the VM in the latest list.
+   * @returns Outcome of the order.
    */
   async give(order: VmOrder, targetId: string | undefined): Promise<VmOrderOutcome> {
     const orderedAtMs = this.options.clock.monotonicMs();
@@ -212,9 +214,9 @@
   }
 
   /**
-   * Guards against one VM too many: an order without an answer may be carried out after a repeat
-   * of it was refused or not sent. Taken back with the repeat, it would count no more, and another
-   * VM would take its place.
+   * Updates the active order of a VM. If a repeat was refused or not sent, the earlier order
+   * without an answer may still be carried out, so it stays active. Otherwise another VM would be
+   * ordered in its place, which is one VM too many.
    */
   private noteOutcome(away: Away, outcome: VmOrderOutcome, before: Away | undefined): void {
     const { vm } = away.order;
@@ -227,10 +229,10 @@
   }
 
   /**
-   * Stores that an order is about to be given; tells why it must not be given, if so.
+   * Stores an order before it is sent. Returns a reason if the order must not be sent.
    *
-   * Guards against tasks that an order ends: a pool's home keeps them off a VM for 3 s after it has
-   * told that the VM is empty, and a slow store or a slow processor may take longer.
+   * A pool's home keeps tasks off a VM for 3 s after it has reported the VM as empty. A slow store
+   * or a slow processor may take longer, and a late order would end new tasks on the VM.
    */
   private async record(
     record: VmOrderRecord,
@@ -240,7 +242,7 @@
     try {
       await store([encodeVmOrderRecord(record)]);
     } catch {
-      // The writer has told why; this holder has been replaced.
+      // The writer reports the cause: this holder has been replaced.
       return 'unrecorded';
     }
     const nowMs = clock.monotonicMs();
--- a/src/fleetHome/WaveCoordinator.ts
+++ b/src/fleetHome/WaveCoordinator.ts
@@ -13,7 +13,7 @@
 /** Options of {@link WaveCoordinator}. */
 export interface WaveCoordinatorOptions {
   readonly orders: VmOrders;
-  /** Progress as an earlier home has stored it. */
+  /** Progress of the waves, as stored by an earlier home. */
   readonly records: readonly WaveRecord[];
   readonly listWaveOrders: () => readonly WaveOrder[];
   readonly store: (records: readonly KeyedRecord[]) => Promise<void>;
@@ -25,13 +25,13 @@
 
 interface WaveProgress {
   readonly wave: number;
-  /** Monotonic time by which every VM has to have begun. */
+  /** Monotonic time by which the maintenance of every VM has to have begun. */
   readonly deadlineMs: number;
   readonly doneVms: readonly string[];
   readonly status: WaveStatus;
 }
 
-/** Leads waves of maintenance: empties VMs, takes them down, and tells how far the waves are. */
+/** Carries out maintenance waves: drains VMs, orders their maintenance and publishes the status. */
 export class WaveCoordinator {
   private readonly options: WaveCoordinatorOptions;
 
@@ -39,14 +39,14 @@
 
   private readonly published = new Map<number, WaveStatus>();
 
-  /** VMs that are being emptied, with their waves. */
+  /** Waves of the VMs that are being drained, by VM. */
   private readonly draining = new Map<string, number>();
 
   private readonly stepTimer: WaveStepTimer;
 
   /**
-   * Takes waves over.
-   * @param options - Orders, stored progress, and where progress is told.
+   * Creates a coordinator that continues the stored waves.
+   * @param options - Orders, stored progress and the destinations of progress updates.
    */
   constructor(options: WaveCoordinatorOptions) {
     this.options = options;
@@ -55,17 +55,17 @@
   }
 
   /**
-   * Lists the VMs that get no new tasks.
-   * @returns Their names.
+   * Lists the VMs that a wave drains, which get no new tasks.
+   * @returns The names of the VMs.
    */
   listDrained(): ReadonlySet<string> {
     return new Set(this.draining.keys());
   }
 
   /**
-   * Takes the next steps of every wave.
+   * Advances every wave: orders the maintenance of empty VMs and drains further VMs.
    * @param vms - The VMs as listed.
-   * @param loads - Load of each target, told after the last call's drains were known.
+   * @param loads - Load of each target, reported after the homes knew of the last call's drains.
    */
   async advance(vms: readonly FleetVm[], loads: ReadonlyMap<string, TargetLoad>): Promise<void> {
     const orders = this.options.listWaveOrders();
@@ -142,11 +142,12 @@
   }
 
   /**
-   * Lists the VMs of a wave that are or may be down, whoever ordered it.
+   * Lists the VMs of a wave that are or may be down, whichever home ordered the maintenance.
    *
-   * Guards against one VM too many after a change of homes: those that the earlier home took down
-   * are not among this one's orders. They show in the list, or their orders are stored and recent,
-   * or they had no answer and may be carried out yet.
+   * The VMs that an earlier home took down are not among this home's orders. Without them, a wave
+   * would take one VM too many down after a change of homes. Such a VM shows as in maintenance in
+   * the list, or its stored order is recent, or the order got no answer and may still be carried
+   * out.
    */
   private listMaybeDown(order: WaveOrder, vms: readonly FleetVm[]): ReadonlySet<string> {
     const ofWave = new Set(order.vms);
@@ -157,7 +158,7 @@
     return new Set([...this.listDown(order.wave), ...foreign, ...inDoubt]);
   }
 
-  /** VMs whose maintenance an earlier home has ordered, and nobody knows whether it was done. */
+  /** Lists the VMs whose maintenance was ordered by an earlier home with unknown result. */
   private listInDoubt({ wave }: WaveOrder, vms: readonly FleetVm[]): readonly FleetVm[] {
     const done = new Set(this.progress.get(wave)!.doneVms);
     const inDoubt = new Set(this.options.orders.listInDoubt(wave));
@@ -189,7 +190,7 @@
     if (outcomes.includes(true)) await this.store(order.wave);
   }
 
-  /** Takes a VM down; tells whether its part in the wave is done, or never comes. */
+  /** Orders the maintenance of a VM; returns whether the wave has no more to do for this VM. */
   private async takeDown({ wave }: WaveOrder, { vm, targetId }: FleetVm): Promise<boolean> {
     const { orders } = this.options;
     const outcome = await orders.give({ type: 'maintain', vm, wave }, targetId);
@@ -200,7 +201,7 @@
     return true;
   }
 
-  /** Ends a wave once each of its VMs that the platform still lists has begun its maintenance. */
+  /** Completes a wave once the maintenance of each of its VMs that are still listed has begun. */
   private async finish({ wave, vms: waveVms }: WaveOrder, vms: readonly FleetVm[]): Promise<void> {
     const progress = this.progress.get(wave)!;
     const done = new Set(progress.doneVms);
@@ -219,7 +220,10 @@
     return store([encodeWaveRecord({ ...progress, deadlineAtMs, leftMs })]);
   }
 
-  /** Tells operators of a wave; a wave is stored before it is first told, and when it ends. */
+  /**
+   * Publishes a changed status to operators. The wave is stored before its first publication; a
+   * completed wave is already stored.
+   */
   private async publish(wave: number): Promise<void> {
     const { status } = this.progress.get(wave)!;
     if (this.published.get(wave) === status) return;
--- a/src/fleetHome/WaveOrder.ts
+++ b/src/fleetHome/WaveOrder.ts
@@ -1,9 +1,9 @@
-/** A wave of maintenance as operators have ordered it. */
+/** A maintenance wave as ordered by operators. */
 export interface WaveOrder {
   readonly wave: number;
   readonly vms: readonly string[];
-  /** Time within which every VM has to have begun, in milliseconds from the order. */
+  /** Time from the order within which every VM's maintenance has to begin, in milliseconds. */
   readonly withinMs: number;
-  /** Most VMs of the wave that may be down for it at the same time. */
+  /** Maximum number of VMs that may be down for the wave at the same time. */
   readonly maxDownCount: number;
 }
--- a/src/fleetHome/WaveRecord.ts
+++ b/src/fleetHome/WaveRecord.ts
@@ -1,18 +1,18 @@
 import { z } from 'zod';
 import { decodeRecordOf, encodeRecordValue, type KeyedRecord } from '../store/index.js';
 
-/** What operators are told of a wave. */
+/** Status of a wave as published to operators. */
 export type WaveStatus = 'running' | 'completed';
 
-/** What is stored of a wave's progress. */
+/** Stored progress of a wave. */
 export interface WaveRecord {
   readonly wave: number;
   /**
-   * Wall-clock time by which every VM has to have begun, in milliseconds since the Unix epoch, by
-   * the clock of the home that stored it.
+   * Wall-clock time by which every VM's maintenance has to have begun, in milliseconds since the
+   * Unix epoch, by the clock of the home that stored the record.
    */
   readonly deadlineAtMs: number;
-  /** Time left until then when the record was written, in milliseconds; absent in older records. */
+  /** Time from writing the record to the deadline, in milliseconds; absent in older records. */
   readonly leftMs?: number;
   readonly doneVms: readonly string[];
   readonly status: WaveStatus;
@@ -40,8 +40,8 @@
 /**
  * Decodes the progress of a wave.
  * @param record - A record of the partition of the fleet's home.
- * @returns The progress, or undefined where the record is about something else.
- * @throws RattanliftError Of kind `internal` where it is malformed.
+ * @returns The progress, or undefined if the record has another type.
+ * @throws RattanliftError Of kind `internal` if the record is malformed.
  */
 export function decodeWaveRecord(record: KeyedRecord): WaveRecord | undefined {
   return decodeRecordOf(PREFIX, recordSchema, record);
--- a/src/fleetHome/WaveStepTimer.ts
+++ b/src/fleetHome/WaveStepTimer.ts
@@ -1,12 +1,12 @@
 import { STEP_MS } from '../systems/index.js';
 import { type Clock, followMean } from '../utils/index.js';
 
-/** Weight of the latest step in the mean: the last handful decide. */
+/** Weight of the latest step in the moving mean; the last few steps dominate. */
 const LEARNING_RATE = 0.2;
-/** Added to what was seen: a step that takes longer than the mean must not make the wave late. */
+/** Factor on the mean, so that a step that takes longer does not make the wave late. */
 const MARGIN_FACTOR = 1.5;
 
-/** Times how long VMs are out for a wave, from the first task kept off until they are back. */
+/** Measures the steps of waves: the time from the start of a VM's drain until the VM is back. */
 export class WaveStepTimer {
   private readonly clock: Clock;
 
@@ -15,20 +15,20 @@
   private meanMs: number | undefined;
 
   /**
-   * Starts without measurements.
-   * @param clock - Times the steps.
+   * Creates a timer without measurements.
+   * @param clock - Clock that measures the steps.
    */
   constructor(clock: Clock) {
     this.clock = clock;
   }
 
-  /** Time that a step is expected to take, in milliseconds. */
+  /** Expected duration of a step, in milliseconds. */
   get expectedMs(): number {
     return this.meanMs === undefined ? STEP_MS : Math.min(STEP_MS, this.meanMs * MARGIN_FACTOR);
   }
 
   /**
-   * Takes note of a VM that gets no more tasks.
+   * Starts the step of a VM, which gets no new tasks from now on.
    * @param vm - The VM.
    */
   begin(vm: string): void {
@@ -36,8 +36,8 @@
   }
 
   /**
-   * Takes note of which VMs are still out; the others are back.
-   * @param outVms - VMs that are being emptied or are down.
+   * Ends the steps of all VMs that are back.
+   * @param outVms - VMs that are still being drained or are down.
    */
   noteOut(outVms: ReadonlySet<string>): void {
     const nowMs = this.clock.monotonicMs();
--- a/src/fleetHome/estimateLeftMs.ts
+++ b/src/fleetHome/estimateLeftMs.ts
@@ -1,17 +1,17 @@
 import type { WaveRecord } from './WaveRecord.js';
 
-/** Longest time between the last record of a running wave and a takeover, in milliseconds. */
+/** Maximum time between the last record of a running wave and a takeover, in milliseconds. */
 const MAX_GAP_MS = 30_000;
 
 /**
- * Estimates the time that a wave has left as another home takes it over.
+ * Estimates the time until the deadline of a wave that this home takes over.
  *
- * Guards against a wave that is rushed, or left for later, as the clocks of two homes are 40
- * minutes apart: the time of day counts only where it shows a plausible time since the record. What
- * was left at the record is never too short.
- * @param record - What the earlier home stored last.
- * @param nowMs - Wall-clock time here, in milliseconds since the Unix epoch.
- * @returns The time in milliseconds.
+ * The clocks of two homes may be 40 minutes apart, which would rush or delay the wave. The wall
+ * clock is therefore used only if it gives a plausible time since the record. Otherwise the result
+ * is the time left when the record was written, which is never too short.
+ * @param record - The latest record of the earlier home.
+ * @param nowMs - Wall-clock time of this home, in milliseconds since the Unix epoch.
+ * @returns The time left, in milliseconds.
  */
 export function estimateLeftMs(
   { deadlineAtMs, leftMs }: Pick<WaveRecord, 'deadlineAtMs' | 'leftMs'>,
--- a/tests/fleetHome/EndedLifetimes.test.ts
+++ b/tests/fleetHome/EndedLifetimes.test.ts
@@ -25,7 +25,7 @@
     lifetimes.note(NAMES.map((vm) => makeVm(vm)));
   });
 
-  it('takes a VM that goes down, or comes back in another lifetime, for crashed', () => {
+  it('reports a VM as crashed that goes down or comes back in another lifetime', () => {
     const down = makeVm('v1', { state: 'down', targetId: undefined });
     lifetimes.note([down, makeVm('v2', { targetId: 't-new' })]);
     expect(lifetimes.list()).toEqual({
@@ -35,8 +35,8 @@
     });
   });
 
-  // Guards against innocent tasks that are given up for moves and maintenance.
-  it('takes a VM for ended, not for crashed, that was ordered away', () => {
+  // Guards against giving up tasks whose targets ended because of moves and maintenance.
+  it('reports a VM as ended and not as crashed after a move or maintenance', () => {
     away.add('v4');
     lifetimes.note([
       makeVm('v1', { state: 'moving', pool: 'archive', targetId: undefined }),
@@ -51,12 +51,12 @@
     });
   });
 
-  // Guards against innocent tasks that are given up for the loss of a rack or of power.
+  // Guards against giving up tasks whose targets crashed with the loss of a rack or of power.
   it.each([
     ['several VMs of a rack', ['v1', 'v2', 'v3'], 3],
     ['the last VMs of a rack', ['v1', 'v2', 'v3', 'v4'], 4],
-    ['one VM of a rack that is left', ['v1'], 0],
-  ])('tells of %s that are lost at once', (_what, lost, withRackCount) => {
+    ['one VM of a rack with others up', ['v1'], 0],
+  ])('classifies the simultaneous loss of %s', (_what, lost, withRackCount) => {
     const down: Partial<FleetVm> = { state: 'down', targetId: undefined };
     lifetimes.note(NAMES.map((vm) => makeVm(vm, lost.includes(vm) ? down : {})));
     expect(lifetimes.list().crashedTargets).toHaveLength(lost.length);
--- a/tests/fleetHome/FleetHome.test.ts
+++ b/tests/fleetHome/FleetHome.test.ts
@@ -2,7 +2,7 @@
 import type { FleetHome } from '../../src/fleetHome/index.js';
 import { makeDemand, openHome, OrderWorld } from './OrderWorld.js';
 
-/** Time after which the list of VMs shows what an order has changed, in milliseconds. */
+/** Time after which the list of VMs shows the effect of an order, in milliseconds. */
 const LISTED_AFTER_MS = 1_500;
 /** VMs of an idle pool, one more than it keeps. */
 const IDLE_VMS = ['vm-1', 'vm-2', 'vm-3', 'vm-4'];
@@ -23,7 +23,7 @@
 
   afterEach(() => home.close());
 
-  // Guards against a VM that stands still for good: its move was not answered and not carried out.
+  // Guards against a VM that stays unused forever: its move got no answer and was not carried out.
   it('repeats a move without an answer that the list does not show', async () => {
     const moveVm = vi.spyOn(world.fleet, 'moveVm');
     moveVm.mockRejectedValueOnce(new Error('no answer'));
@@ -35,7 +35,7 @@
     await vi.waitFor(() => expect(world.listOrders()).toEqual([`${vm} by holder-2`]));
   });
 
-  // Guards against a task on a VM whose move may yet be carried out, and would end it.
+  // Guards against placing a task on a VM whose move may still be carried out and would end it.
   it('keeps tasks off a VM whose move has no answer', async () => {
     const moveVm = vi.spyOn(world.fleet, 'moveVm').mockRejectedValue(new Error('no answer'));
     home.start();
--- a/tests/fleetHome/OrderWorld.ts
+++ b/tests/fleetHome/OrderWorld.ts
@@ -8,7 +8,7 @@
 import type { FleetVm } from '../../src/vms/index.js';
 import { FleetStandIn } from '../../standins/vms/index.js';
 
-/** Time that has to pass between the orders of two holders, in milliseconds. */
+/** Minimum time between the orders of two holders for one VM, in milliseconds. */
 export const ORDER_LEASE_MS = 3_000;
 const VMS: readonly FleetVm[] = ['vm-1', 'vm-2'].map((vm) => ({
   vm,
@@ -18,7 +18,7 @@
   rack: 'r1',
 }));
 
-/** Makes the demand of a pool, with targets that run nothing. */
+/** Creates the demand of a pool whose targets run nothing. */
 export function makeDemand(
   pool: string,
   neededCpuMillicores: number,
@@ -41,7 +41,7 @@
   };
 }
 
-/** VMs, a store of orders, and the holders that a test opens over them. */
+/** Test environment with VMs, a store of orders and a clock, shared by the holders of a test. */
 export class OrderWorld {
   readonly clock = new ManualClock(50_000);
 
@@ -49,13 +49,13 @@
 
   readonly fleet: FleetStandIn;
 
-  /** What the homes of pools tell, by pool. */
+  /** Demands that the homes of pools report, by pool. */
   readonly demands = new Map<string, PoolDemand>([['pages', makeDemand('pages', 64_000)]]);
 
-  /** Targets that homes of pools were told to give no task, call by call. */
+  /** Drained targets that were sent to the homes of pools, one element per call. */
   readonly drained: (readonly string[])[] = [];
 
-  /** Records as a store keeps them: the newest of each key. */
+  /** Stored records: the newest of each key. */
   readonly stored = new Map<string, KeyedRecord>();
 
   constructor(vms: readonly FleetVm[] = VMS) {
@@ -93,7 +93,7 @@
   }
 }
 
-/** Opens a home of the fleet over the pools of which the world tells. */
+/** Creates a home of the fleet whose pools have the demands of the environment. */
 export function openHome(world: OrderWorld): FleetHome {
   const { clock, events, fleet, orderRecords } = world;
   return new FleetHome({
--- a/tests/fleetHome/VmOrders.test.ts
+++ b/tests/fleetHome/VmOrders.test.ts
@@ -6,17 +6,18 @@
 const maintenanceOf = (vm: string) => ({ type: 'maintain', vm, wave: 1 }) as const;
 
 describe('VmOrders', () => {
-  // A morning rush found three VMs in its pool for five seconds after all daemons had lost power.
-  // The new home of the fleet waited out the order lease for every VM, although the earlier one had
-  // ordered none of them. Cause: nobody knew which VMs an earlier home might still order.
-  it('orders a VM at once that no earlier holder has ordered lately', async () => {
+  // Guards against a pool that keeps three VMs for five seconds of a load peak after all daemons
+  // have lost power: without stored orders, the new home of the fleet cannot know which VMs an
+  // earlier home might still order, and waits for the order lease of every VM.
+  it('orders a VM at once that no earlier holder has ordered recently', async () => {
     const world = new OrderWorld();
     expect(await world.open(2).give(moveOf('vm-1'), undefined)).toBe('accepted');
     expect(world.listOrders()).toEqual(['vm-1 by holder-2']);
   });
 
-  // A VM was sent back and forth: a home that was being replaced moved it to one pool, and its
-  // successor moved it on within a second, while the first one's next order was on its way.
+  // Guards against a VM that is moved back and forth: a home that is being replaced moves it to one
+  // pool, and its successor moves it on within a second, while the next order of the first home is
+  // in flight.
   it('leaves a VM alone that an earlier holder has just ordered, until its lease is over', async () => {
     const world = new OrderWorld();
     await world.open(1).give(moveOf('vm-1'), undefined);
@@ -33,10 +34,11 @@
     ]);
   });
 
-  // The successor's clock was 40 minutes ahead, so that an order half a second old looked older
-  // than the lease, and both holders ordered the same VM. Clocks may also be far behind.
+  // Guards against two holders that order the same VM: with a clock that is 40 minutes ahead, the
+  // successor would consider an order half a second old to be older than the lease. Clocks may also
+  // be far behind.
   it.each([40, -40])(
-    'takes an order for recent where the clock of its holder is %i minutes off',
+    'treats an order as recent if the clock of its holder is %i minutes off',
     async (minutes) => {
       const world = new OrderWorld();
       await world.open(1).give(moveOf('vm-1'), undefined);
@@ -46,10 +48,10 @@
     },
   );
 
-  // Each change of homes cost 3.3 s without the VMs that had been ordered last, however long ago:
-  // without a clock that two holders share, a stored order looks recent for ever.
+  // Guards against a wait of 3.3 s at each change of homes for all VMs that were ever ordered: two
+  // holders share no clock, so a stored order would look recent forever.
   it.each([moveOf, maintenanceOf])(
-    'orders a VM at once whose order lease an earlier holder has seen end (%s)',
+    'orders a VM at once if an earlier holder has stored the end of its order lease (%s)',
     async (orderOf) => {
       const world = new OrderWorld();
       const first = world.open(1);
@@ -63,7 +65,7 @@
     },
   );
 
-  it('sees the lease of an order end that an earlier holder gave', async () => {
+  it('stores the end of the lease of an order that an earlier holder issued', async () => {
     const world = new OrderWorld();
     await world.open(1).give(moveOf('vm-1'), undefined);
     const second = world.open(2);
@@ -72,9 +74,9 @@
     expect(world.open(3).listTooEarly()).toEqual([]);
   });
 
-  // A VM was ordered by two holders: while the end of an earlier order's lease was on its way to
-  // the store, the holder ordered the VM once more, and the new order passed for settled too.
-  it('takes an order for recent that was given while an earlier one was being settled', async () => {
+  // Guards against a VM that two holders order: the holder orders the VM again while the end of the
+  // earlier order's lease is being stored, and the new order is considered settled too.
+  it('treats an order as recent that was issued while an earlier one was being settled', async () => {
     const world = new OrderWorld();
     const first = world.open(1);
     await first.give(moveOf('vm-1'), undefined);
@@ -112,9 +114,10 @@
     expect(world.open(2).listTooEarly()).toEqual([]);
   });
 
-  // Two holders ordered one VM within the order lease: the successor had counted the lease from the
-  // record of the order, which was given 1 s later, and its clock was 2 s ahead besides.
-  it('leaves a VM alone for a whole lease from its opening, however old the order', async () => {
+  // Guards against two holders that order one VM within the order lease: the successor counted the
+  // lease from the record of the order, which was issued 1 s later, and its clock was also 2 s
+  // ahead.
+  it('orders no VM of a stored order for a whole lease after its start, however old the order', async () => {
     const world = new OrderWorld();
     await world.open(1).give(moveOf('vm-1'), undefined);
     world.clock.advance(ORDER_LEASE_MS + 2_000);
@@ -126,8 +129,8 @@
     expect(await successor.give(moveOf('vm-1'), undefined)).toBe('accepted');
   });
 
-  // A home that had been frozen woke up and moved a VM that its successor was about to use. It did
-  // not know yet that it was replaced; the store did.
+  // Guards against a home that resumes after a pause of its process and moves a VM that its
+  // successor is about to use. The home does not know yet that it was replaced, but the store does.
   it('gives no order that could not be stored', async () => {
     const world = new OrderWorld();
     const replaced = world.open(1);
@@ -137,8 +140,8 @@
     expect(replaced.isAway('vm-1')).toBe(false);
   });
 
-  // A VM with tasks was taken down: the order had waited four seconds for the store, and by then
-  // the pool's home had given the VM new tasks, as nobody had told it again to keep them off.
+  // Guards against a VM that is taken down with tasks: while the order waits four seconds for the
+  // store, the pool's home is not told again to keep tasks off the VM and places new ones on it.
   it('gives no order whose record was stored too late', async () => {
     const world = new OrderWorld();
     const orders = world.open(1);
@@ -152,8 +155,9 @@
     expect(orders.isAway('vm-1')).toBe(false);
   });
 
-  // Guards against tasks that an order ends: they were kept off the VM for 3 s after it was empty.
-  it('gives no order by loads that were asked for too long ago', async () => {
+  // Guards against an order that ends tasks: they are kept off the VM only for 3 s after it was
+  // empty.
+  it('issues no order based on loads that were requested too long ago', async () => {
     const world = new OrderWorld();
     const orders = world.open(1);
     orders.noteLoads(world.clock.monotonicMs());
@@ -163,11 +167,11 @@
     expect(await orders.give(moveOf('vm-1'), undefined)).toBe('accepted');
   });
 
-  // A wave took one VM more down than it may: the order for a VM got no answer, its repeat was not
-  // sent as the store was slow, and another VM took the place of the first one. Then the first
-  // order was carried out after all. Cause: a repeat that was not carried out took the order back.
+  // Guards against a wave that takes one VM too many down: the order for a VM gets no answer, and
+  // its repeat is not sent because the store is slow. If that ends the active order, another VM is
+  // ordered in its place, and then the first order is carried out after all.
   it.each(['outdated', 'overloaded'] as const)(
-    'counts a VM as away whose order has no answer, also where a repeat is %s',
+    'keeps an order without an answer active if a repeat is %s',
     async (outcome) => {
       const world = new OrderWorld();
       const orders = world.open(1);
@@ -185,7 +189,7 @@
     },
   );
 
-  it('takes an order back that is never carried out, also after one without answer', async () => {
+  it('ends an order that will never be carried out, also after one without an answer', async () => {
     const world = new OrderWorld();
     const orders = world.open(1);
     const maintainVm = vi.spyOn(world.fleet, 'maintainVm');
@@ -196,10 +200,10 @@
     expect(orders.isAway('vm-1')).toBe(false);
   });
 
-  // A wave went on with one place less than it may have: a new home had repeated the order for a
-  // VM whose maintenance was done, the platform said so, and the VM counted as away for good, since
-  // its lifetime never changed.
-  it('counts a VM as back that an accepted order has not changed', async () => {
+  // Guards against a wave that has one VM too few down from then on: a new home repeats the order
+  // for a VM whose maintenance is done, the platform accepts it, and the order stays active forever
+  // because the VM's lifetime never changes.
+  it('ends an accepted order that has not changed its VM', async () => {
     const world = new OrderWorld();
     const orders = world.open(1);
     const vm: FleetVm = { vm: 'vm-1', pool: 'pages', state: 'up', targetId: 'lifetime-1' };
@@ -214,7 +218,7 @@
     expect(orders.isAway('vm-1')).toBe(false);
   });
 
-  it('counts a VM as away that an order without an answer has not changed yet', async () => {
+  it('keeps an order without an answer active that has not changed its VM yet', async () => {
     const world = new OrderWorld();
     const orders = world.open(1);
     const vm: FleetVm = { vm: 'vm-1', pool: 'pages', state: 'up', targetId: 'lifetime-1' };
@@ -228,8 +232,9 @@
 });
 
 describe('FleetHome', () => {
-  // See the first story of VmOrders; the clock stands still, so no lease is ever waited out.
-  it('gives spares to a pool whose tasks wait as soon as it is opened', async () => {
+  // Guards against the failure of the first test of VmOrders. The clock stands still, so no lease
+  // ever ends.
+  it('moves standby VMs to a pool with waiting tasks as soon as it is opened', async () => {
     const world = new OrderWorld();
     const home = openHome(world);
     home.start();
@@ -237,8 +242,8 @@
     home.close();
   });
 
-  // After a power loss a pool got few VMs in three seconds. Those that an earlier home had just
-  // ordered were chosen again and again, kept idle, and took the places of others.
+  // Guards against a pool that gets few VMs in three seconds after a power loss: VMs that an
+  // earlier home has just ordered are chosen repeatedly, kept idle, and take the places of others.
   it('chooses no VM that it may not order yet', async () => {
     const world = new OrderWorld();
     await world.open(1).give({ type: 'maintain', vm: 'vm-1', wave: 1 }, undefined);
--- a/tests/fleetHome/WaveCoordinator.test.ts
+++ b/tests/fleetHome/WaveCoordinator.test.ts
@@ -14,7 +14,7 @@
 const IDLE = { runCount: 0, longRunningCount: 0, usedCpuMillicores: 0, cpuMillicores: 4_000 };
 const ORDER = { wave: 1, vms: ['m1', 'm2'], withinMs: 20_000, maxDownCount: 1 };
 
-/** A coordinator that has taken a wave over from an earlier home. */
+/** Creates a coordinator that has taken over a wave from an earlier home. */
 function createCoordinator(
   orders: VmOrders,
   clock: Clock,
@@ -33,7 +33,7 @@
   });
 }
 
-/** Leads a wave over two VMs of which an earlier home has taken the first one down. */
+/** Advances a wave of two VMs, the first of which an earlier home has taken down. */
 async function leadWave(first: FleetVm, tooEarly: readonly string[]): Promise<readonly string[]> {
   const given: string[] = [];
   const orders: Pick<VmOrders, 'listAway' | 'listTooEarly' | 'listInDoubt' | 'give'> = {
@@ -53,7 +53,7 @@
   return given;
 }
 
-/** Counts the VMs that a coordinator drains of a large wave while the time of day jumps. */
+/** Counts the VMs of a large wave that a coordinator drains while the wall clock jumps. */
 async function countDrained(jumpMs: number): Promise<number> {
   const clock = new ManualClock(1_000_000);
   const names = Array.from({ length: 40 }, (_vm, number) => `m${number}`);
@@ -89,24 +89,24 @@
     expect(estimateLeftMs(record, 1_005_000)).toBe(95_000);
   });
 
-  it('goes by the clocks where the record says nothing else', () => {
+  it('uses the wall clocks if the record has no time left', () => {
     expect(estimateLeftMs({ deadlineAtMs: 1_100_000 }, 1_000_000)).toBe(100_000);
   });
 
-  it.each([40, -40])('takes what was left where the clocks are %i minutes apart', (minutes) => {
+  it.each([40, -40])('uses the stored time left if the clocks are %i minutes apart', (minutes) => {
     expect(estimateLeftMs(record, 1_005_000 + minutes * 60_000)).toBe(100_000);
   });
 });
 
 describe('WaveCoordinator', () => {
-  // Half of a pool was emptied at once for a wave that had minutes left: the clock of its home had
-  // jumped ahead by 40 minutes, and the wave looked late.
+  // Guards against a wave with minutes left that drains half of a pool at once: the clock of its
+  // home jumps ahead by 40 minutes, and the wave looks late.
   it.each([40, -40])('goes on as planned while the clock jumps by %i minutes', async (minutes) => {
     expect(await countDrained(minutes * 60_000)).toBe(await countDrained(0));
   });
 
-  // Ten VMs of a wave were down where nine were allowed: the home of the fleet had changed, and the
-  // next one counted its own orders alone.
+  // Guards against one VM of a wave too many being down, ten instead of nine: after a change of the
+  // fleet's home, the next home counts only its own orders.
   it('counts the VMs that an earlier home has taken down', async () => {
     const down: FleetVm = { vm: 'm1', pool: 'pages', state: 'in-maintenance' };
     const up: FleetVm = { ...down, state: 'up' };
@@ -115,9 +115,9 @@
     expect(await leadWave(up, [])).toEqual(['m2']);
   });
 
-  // Two VMs of a wave were down where one was allowed: an order of the earlier home had no answer
-  // and was carried out seconds later, when the next home had taken another VM down. An order of
-  // the next home for that VM would have kept the late one from being carried out.
+  // Guards against two VMs of a wave being down when one is allowed: an order of the earlier home
+  // got no answer and is carried out seconds later, after the next home has taken another VM down.
+  // An order of the next home for the same VM prevents the late order from being carried out.
   it('orders the VMs first that an earlier home may have ordered without an answer', async () => {
     const clock = new ManualClock(1_000_000);
     const events = new MemoryEventLog();
--- a/tests/fleetHome/WaveStepTimer.test.ts
+++ b/tests/fleetHome/WaveStepTimer.test.ts
@@ -3,9 +3,9 @@
 import { ManualClock } from '../../src/utils/index.js';
 
 describe('WaveStepTimer', () => {
-  // A wave took eight VMs out at once in the front of a rush, though it had 25 s for 19 VMs that
-  // were out for 2.5 s each: it reckoned with 6 s.
-  it('expects what steps were seen to take, with a margin, and 6 s before the first', () => {
+  // Guards against a wave that takes out eight VMs at once at the start of a load peak, although it
+  // has 25 s for 19 VMs that are out for 2.5 s each, because it assumes 6 s per step.
+  it('expects the measured duration of steps plus a margin, and 6 s before the first step', () => {
     const clock = new ManualClock();
     const steps = new WaveStepTimer(clock);
     expect(steps.expectedMs).toBe(6_000);
--- a/tests/fleetHome/isEmpty.test.ts
+++ b/tests/fleetHome/isEmpty.test.ts
@@ -9,7 +9,7 @@
   return new Map([['t1', { targetId: 't1', runCount, ...load }]]);
 };
 
-it('takes a VM for empty only where nothing is known to run on it', () => {
+it('considers a VM empty only if it is known to run nothing', () => {
   expect(isEmpty(VM, new Map())).toBe(true);
   expect(isEmpty({ ...VM, targetId: 't1' }, makeLoads(0))).toBe(true);
   expect(isEmpty({ ...VM, targetId: 't1' }, makeLoads(1))).toBe(false);
