--- a/src/systems/BudgetTally.ts
+++ b/src/systems/AvailabilityBudget.ts
@@ -4,15 +4,15 @@
 import { DomainSlots } from './DomainSlots.js';
 import { isQuarantined, listSteppedVms } from './vmStates.js';
 
-/** Options of {@link BudgetTally}. */
-export interface BudgetTallyOptions {
+/** Options of {@link AvailabilityBudget}. */
+export interface AvailabilityBudgetOptions {
   readonly tables: PoolTables;
   /** Monotonic time, in milliseconds; determines which quarantines are still in force. */
   readonly nowMs: number;
 }
 
 /** Availability budget of a pool, updated incrementally as VMs are taken out one by one. */
-export class BudgetTally {
+export class AvailabilityBudget {
   private readonly availability: AvailabilitySettings;
 
   private readonly neededSlotCount: number;
@@ -27,7 +27,7 @@
    * Counts the VMs that accept work at present.
    * @param options - State of the pool and the time.
    */
-  constructor(options: BudgetTallyOptions) {
+  constructor(options: AvailabilityBudgetOptions) {
     const { tables, nowMs } = options;
     const steppedVms = listSteppedVms(tables);
     this.availability = tables.settings.availability;
@@ -42,12 +42,12 @@
   }
 
   /** Count of VMs that are unavailable, for whatever reason. */
-  get outVmCount(): number {
+  get unavailableVmCount(): number {
     return this.vmCount - this.acceptingVms.size;
   }
 
   /** Most VMs that may be unavailable at once, by the declared fraction. */
-  get allowedOutVmCount(): number {
+  get maxUnavailableVmCount(): number {
     return Math.floor(this.availability.maxUnavailableFraction * this.vmCount);
   }
 
@@ -85,21 +85,25 @@
    * @returns The spare slots, or why the budget is exceeded.
    */
   verdict(): BudgetVerdict {
-    const { outVmCount, allowedOutVmCount, neededSlotCount } = this;
-    if (outVmCount > allowedOutVmCount) {
+    const {
+      unavailableVmCount: unavailableVmCount,
+      maxUnavailableVmCount: maxUnavailableVmCount,
+      neededSlotCount,
+    } = this;
+    if (unavailableVmCount > maxUnavailableVmCount) {
       return {
         type: 'exceeded',
-        reason: `${outVmCount} of ${this.vmCount} VMs would be unavailable; ${allowedOutVmCount} are allowed`,
+        reason: `${unavailableVmCount} of ${this.vmCount} VMs would be unavailable; ${maxUnavailableVmCount} are allowed`,
       };
     }
-    const leftSlotCount = this.slots.countAfterLoss();
-    if (leftSlotCount < neededSlotCount) {
+    const remainingSlotCount = this.slots.countAfterLoss();
+    if (remainingSlotCount < neededSlotCount) {
       const domain = this.availability.failureDomain;
       return {
         type: 'exceeded',
-        reason: `${leftSlotCount} slots would be left after the loss of a ${domain}; ${neededSlotCount} are needed`,
+        reason: `${remainingSlotCount} slots would be left after the loss of a ${domain}; ${neededSlotCount} are needed`,
       };
     }
-    return { type: 'within', spareSlotCount: leftSlotCount - neededSlotCount };
+    return { type: 'within', spareSlotCount: remainingSlotCount - neededSlotCount };
   }
 }
--- a/src/systems/DomainSlots.ts
+++ b/src/systems/DomainSlots.ts
@@ -6,7 +6,7 @@
 export class DomainSlots {
   private readonly failureDomain: FailureDomain;
 
-  private readonly slotCounts = new Map<string, number>();
+  private readonly slotCountByDomain = new Map<string, number>();
 
   private totalSlotCount = 0;
 
@@ -28,7 +28,7 @@
    * @param vm - A VM outside the set.
    */
   add(vm: VmRow): void {
-    this.change(vm, vm.slotCount);
+    this.adjust(vm, vm.slotCount);
   }
 
   /**
@@ -36,7 +36,7 @@
    * @param vm - A VM of the set.
    */
   remove(vm: VmRow): void {
-    this.change(vm, -vm.slotCount);
+    this.adjust(vm, -vm.slotCount);
   }
 
   /**
@@ -45,7 +45,7 @@
    * @returns Slots of the set in that domain.
    */
   countInDomainOf(vm: VmRow): number {
-    return this.slotCounts.get(getFailureDomain(vm, this.failureDomain)) ?? 0;
+    return this.slotCountByDomain.get(getFailureDomain(vm, this.failureDomain)) ?? 0;
   }
 
   /**
@@ -61,12 +61,12 @@
    * @returns Slots of the domain with the most slots.
    */
   largestDomainSlotCount(): number {
-    return [...this.slotCounts.values()].reduce((most, count) => Math.max(most, count), 0);
+    return [...this.slotCountByDomain.values()].reduce((most, count) => Math.max(most, count), 0);
   }
 
-  private change(vm: VmRow, bySlotCount: number): void {
+  private adjust(vm: VmRow, slotCountDelta: number): void {
     const domain = getFailureDomain(vm, this.failureDomain);
-    this.slotCounts.set(domain, (this.slotCounts.get(domain) ?? 0) + bySlotCount);
-    this.totalSlotCount += bySlotCount;
+    this.slotCountByDomain.set(domain, (this.slotCountByDomain.get(domain) ?? 0) + slotCountDelta);
+    this.totalSlotCount += slotCountDelta;
   }
 }
--- a/src/systems/checkBudget.ts
+++ b/src/systems/checkBudget.ts
@@ -1,5 +1,5 @@
 import type { PoolTables } from '../tables/index.js';
-import { BudgetTally } from './BudgetTally.js';
+import { AvailabilityBudget } from './AvailabilityBudget.js';
 import type { BudgetVerdict } from './decisions.js';
 
 /** Options of {@link checkBudget}. */
@@ -18,7 +18,7 @@
  * @returns The spare slots, or why the budget is exceeded.
  */
 export function checkBudget(tables: PoolTables, options: CheckBudgetOptions): BudgetVerdict {
-  const tally = new BudgetTally({ tables, nowMs: options.nowMs });
-  (options.takenOutVms ?? []).forEach((vm) => tally.takeOut(vm));
-  return tally.verdict();
+  const budget = new AvailabilityBudget({ tables, nowMs: options.nowMs });
+  (options.takenOutVms ?? []).forEach((vm) => budget.takeOut(vm));
+  return budget.verdict();
 }
--- a/src/systems/chooseVm.ts
+++ b/src/systems/chooseVm.ts
@@ -5,11 +5,11 @@
 import type { VmLoad } from './VmLoad.js';
 
 /** Width of the bands of rack load; racks in the same band count as equally loaded. */
-const RACK_LOAD_STEP = 0.25;
+const RACK_LOAD_BAND_WIDTH = 0.25;
 /** Lower bound of a VM's limit on recent starts, as {@link VmLoad} counts them. */
-const MIN_RECENT_START_COUNT = 2;
+const MIN_RECENT_START_LIMIT = 2;
 /** Share of a VM's slots that limits its recent starts. */
-const RECENT_START_FRACTION = 0.25;
+const RECENT_START_LIMIT_FRACTION = 0.25;
 
 /** Options of {@link chooseVm}. */
 export interface ChooseVmOptions {
@@ -29,8 +29,8 @@
 function mayStart(load: VmLoad, request: QueuedRow): boolean {
   if (request.urgency === 'urgent') return true;
   const limit = Math.max(
-    MIN_RECENT_START_COUNT,
-    Math.ceil(load.vm.slotCount * RECENT_START_FRACTION),
+    MIN_RECENT_START_LIMIT,
+    Math.ceil(load.vm.slotCount * RECENT_START_LIMIT_FRACTION),
   );
   return load.recentStartCount < limit;
 }
@@ -42,9 +42,9 @@
 function isBetter(options: ChooseVmOptions, first: VmLoad, second: VmLoad): boolean {
   if (first.failureCount !== second.failureCount) return first.failureCount < second.failureCount;
   const { load, size } = options;
-  const firstStep = Math.floor(load.rackLoadFraction(first) / RACK_LOAD_STEP);
-  const secondStep = Math.floor(load.rackLoadFraction(second) / RACK_LOAD_STEP);
-  if (firstStep !== secondStep) return firstStep < secondStep;
+  const firstBand = Math.floor(load.rackLoadFraction(first) / RACK_LOAD_BAND_WIDTH);
+  const secondBand = Math.floor(load.rackLoadFraction(second) / RACK_LOAD_BAND_WIDTH);
+  if (firstBand !== secondBand) return firstBand < secondBand;
   return first.slackAfter(size) < second.slackAfter(size);
 }
 
--- a/src/systems/findWaveFailure.ts
+++ b/src/systems/findWaveFailure.ts
@@ -31,7 +31,7 @@
 }
 
 /** Racks that lost a VM without a step in the wave, which points to the rack as the cause. */
-function listRacksLostOtherwise(
+function listRacksWithOtherLosses(
   tables: PoolTables,
   touchedVms: ReadonlySet<string>,
 ): ReadonlySet<string> {
@@ -44,11 +44,14 @@
 }
 
 /** VMs that were lost after their maintenance, except those in racks that failed. */
-function listVmsLostAfterwards(options: FindWaveFailureOptions): readonly string[] {
+function listVmsLostAfterMaintenance(options: FindWaveFailureOptions): readonly string[] {
   const { tables, steps, nowMs } = options;
-  const racksLostOtherwise = listRacksLostOtherwise(tables, new Set(steps.map((step) => step.vm)));
+  const racksWithOtherLosses = listRacksWithOtherLosses(
+    tables,
+    new Set(steps.map((step) => step.vm)),
+  );
   const hasRackFailed = (rack: string): boolean =>
-    racksLostOtherwise.has(rack) || options.failedRacks?.has(rack) === true;
+    racksWithOtherLosses.has(rack) || options.failedRacks?.has(rack) === true;
   return steps
     .filter((step) => step.state === 'maintained' && isConfirmedLoss(tables, step.vm, nowMs))
     .map((step) => tables.vms.get(step.vm))
@@ -64,7 +67,7 @@
  */
 export function listSuspectVms(options: FindWaveFailureOptions): readonly string[] {
   const failedVms = options.steps.filter((step) => step.state === 'failed').map((step) => step.vm);
-  return [...failedVms, ...listVmsLostAfterwards(options)];
+  return [...failedVms, ...listVmsLostAfterMaintenance(options)];
 }
 
 /**
@@ -79,10 +82,10 @@
   const forgivenVms = options.tables.waveWatches.get(options.wave.wave)?.forgivenVms ?? [];
   const suspectVms = listSuspectVms(options).filter((vm) => !forgivenVms.includes(vm));
   const finishedCount = options.steps.filter((step) => step.state !== 'intended').length;
-  const stoppingCount =
+  const stopThreshold =
     (options.fleetFinishedCount ?? finishedCount) <= EARLY_STEP_COUNT
       ? 1
       : Math.max(MIN_FAILURE_COUNT, Math.ceil(finishedCount * MAX_FAILURE_FRACTION));
-  if (suspectVms.length < stoppingCount) return undefined;
+  if (suspectVms.length < stopThreshold) return undefined;
   return `${suspectVms.length} of ${finishedCount} VMs failed during or after their maintenance: ${suspectVms.join(', ')}`;
 }
--- a/src/systems/canCarryAnyKind.ts
+++ b/src/systems/fitsAnyJobKind.ts
@@ -7,7 +7,7 @@
  * @param vm - The VM.
  * @returns Whether the VM has slots and, if kinds are declared, at least one fits on it empty.
  */
-export function canCarryAnyKind(settings: PoolSettings, vm: VmRow): boolean {
+export function fitsAnyJobKind(settings: PoolSettings, vm: VmRow): boolean {
   const kinds = Object.values(settings.jobKinds);
   if (vm.slotCount === 0) return false;
   if (kinds.length === 0) return true;
--- a/src/systems/getMaxStepsInProgress.ts
+++ b/src/systems/getMaxStepsInProgress.ts
@@ -1,5 +1,5 @@
 import type { PoolTables, WaveRow } from '../tables/index.js';
-import { getWaveWidth } from './getWaveWidth.js';
+import { getWaveConcurrency } from './getWaveConcurrency.js';
 
 /**
  * Computes how many steps of a wave may be in progress in a pool: one at first, then twice as many
@@ -12,5 +12,5 @@
   const maintainedCount = tables.waveSteps
     .list()
     .filter((step) => step.wave === wave.wave && step.state === 'maintained').length;
-  return Math.min(maintainedCount + 1, getWaveWidth(tables));
+  return Math.min(maintainedCount + 1, getWaveConcurrency(tables));
 }
--- a/src/systems/getWaveWidth.ts
+++ b/src/systems/getWaveConcurrency.ts
@@ -6,7 +6,7 @@
  * @param tables - State of the pool.
  * @returns One VM at weight 0, all that the declared fraction allows at weight 1.
  */
-export function getWaveWidth(tables: PoolTables): number {
+export function getWaveConcurrency(tables: PoolTables): number {
   const { availability, maintenance } = tables.settings;
   const allowedCount = Math.floor(availability.maxUnavailableFraction * tables.vms.size);
   return Math.max(1, Math.round(maintenance.rollOutWeight * allowedCount));
--- a/src/systems/orderQueue.ts
+++ b/src/systems/orderQueue.ts
@@ -10,14 +10,14 @@
 interface AgeingRule {
   readonly urgency: Urgency;
   /** Wait after which a job of the urgency counts as aged, in milliseconds. */
-  readonly owedAfterMs: number;
+  readonly agedAfterMs: number;
   /** Share of the pool's slots that aged jobs may take ahead of others; at least one slot. */
-  readonly owedSlotFraction: number;
+  readonly guaranteedSlotFraction: number;
 }
 
 const AGEING_RULES: readonly AgeingRule[] = [
-  { urgency: 'normal', owedAfterMs: 20_000, owedSlotFraction: 0.2 },
-  { urgency: 'overnight', owedAfterMs: 900_000, owedSlotFraction: 0.05 },
+  { urgency: 'normal', agedAfterMs: 20_000, guaranteedSlotFraction: 0.2 },
+  { urgency: 'overnight', agedAfterMs: 900_000, guaranteedSlotFraction: 0.05 },
 ];
 
 /** A request with its rank in the weighted fair order. */
@@ -60,23 +60,23 @@
  * @param slotCount - Slots of the pool.
  * @returns Slots, 0 for an urgency without a guarantee.
  */
-export function owedSlotCount(urgency: Urgency, slotCount: number): number {
+export function getGuaranteedSlotCount(urgency: Urgency, slotCount: number): number {
   const rule = AGEING_RULES.find((candidate) => candidate.urgency === urgency);
-  return rule === undefined ? 0 : Math.max(1, Math.floor(rule.owedSlotFraction * slotCount));
+  return rule === undefined ? 0 : Math.max(1, Math.floor(rule.guaranteedSlotFraction * slotCount));
 }
 
 /** Lists the aged requests for which guaranteed slots are left, oldest first by urgency. */
-function listOwed(
+function listAged(
   load: PoolLoad,
   requests: readonly QueuedRow[],
   nowMs: number,
 ): readonly QueuedRow[] {
   return AGEING_RULES.flatMap((rule) => {
-    const owedCount = owedSlotCount(rule.urgency, load.slotCount);
-    const missingCount = Math.max(0, owedCount - load.heldByUrgencyCount(rule.urgency));
+    const guaranteedCount = getGuaranteedSlotCount(rule.urgency, load.slotCount);
+    const missingCount = Math.max(0, guaranteedCount - load.heldByUrgencyCount(rule.urgency));
     return requests
       .filter((request) => request.urgency === rule.urgency)
-      .filter((request) => nowMs - request.queuedAtMs >= rule.owedAfterMs)
+      .filter((request) => nowMs - request.queuedAtMs >= rule.agedAfterMs)
       .sort(compareArrival)
       .slice(0, missingCount);
   });
@@ -94,7 +94,7 @@
 /** Order in which requests are served. */
 export interface ServingOrder {
   /** Requests that have waited so long that they are served first. */
-  readonly owed: ReadonlySet<QueuedRow>;
+  readonly aged: ReadonlySet<QueuedRow>;
   readonly requests: readonly QueuedRow[];
 }
 
@@ -106,8 +106,8 @@
  */
 export function orderQueue(options: OrderQueueOptions): ServingOrder {
   const { tables, load, requests, nowMs } = options;
-  const owed = new Set(listOwed(load, requests, nowMs));
-  const others = requests.filter((request) => !owed.has(request));
+  const aged = new Set(listAged(load, requests, nowMs));
+  const others = requests.filter((request) => !aged.has(request));
   const ordered = SERVING_ORDER.flatMap((urgency) =>
     orderFairly(
       tables,
@@ -115,5 +115,5 @@
       others.filter((request) => request.urgency === urgency),
     ),
   );
-  return { owed, requests: [...owed, ...ordered] };
+  return { aged: aged, requests: [...aged, ...ordered] };
 }
--- a/src/systems/placeQueuedJobs.ts
+++ b/src/systems/placeQueuedJobs.ts
@@ -8,7 +8,7 @@
 import { orderQueue } from './orderQueue.js';
 import { planPreemptions, planUnthrottles } from './planPreemptions.js';
 import { PoolLoad } from './PoolLoad.js';
-import { refuseHopeless, refuseLate } from './refuseHopeless.js';
+import { refuseUnservable, refuseLate } from './refuseUnservable.js';
 import { RunEstimator } from './RunEstimator.js';
 import type { VmLoad } from './VmLoad.js';
 
@@ -16,7 +16,7 @@
 const NORMAL_HEADROOM_FRACTION = 0.05;
 const OVERNIGHT_HEADROOM_FRACTION = 0.1;
 /** Mean interval between run ends up to which urgent work needs no free slots, in milliseconds. */
-const SOON_FREE_MS = 500;
+const SHORT_RUN_END_INTERVAL_MS = 500;
 /** Wait after which a VM is reserved for a job that fits on no VM, in milliseconds. */
 const RESERVE_AFTER_MS = 10_000;
 
@@ -29,11 +29,11 @@
 }
 
 /** State of one placement round. */
-interface PlacementRun extends PlaceQueuedJobsOptions {
+interface PlacementRound extends PlaceQueuedJobsOptions {
   readonly tables: PoolTables;
   readonly load: PoolLoad;
   readonly estimator: RunEstimator;
-  readonly owed: ReadonlySet<QueuedRow>;
+  readonly aged: ReadonlySet<QueuedRow>;
   readonly largestVmMemoryMb: number;
   /** Sizes that fit on no VM; this stays true, since VMs only fill up during a round. */
   readonly unfitSizes: Set<string>;
@@ -50,7 +50,7 @@
     case 'urgent':
       return 0;
     case 'normal':
-      return meanRunMs / slotCount <= SOON_FREE_MS
+      return meanRunMs / slotCount <= SHORT_RUN_END_INTERVAL_MS
         ? 0
         : Math.floor(NORMAL_HEADROOM_FRACTION * slotCount);
     case 'overnight':
@@ -64,23 +64,23 @@
  * Learned size of a request, limited to the memory of the largest VM. Without the limit, a few runs
  * measured far too large would keep a kind from ever running and being measured again.
  */
-function sizeOf(run: PlacementRun, request: QueuedRow): JobSize {
-  const { coreCount, memoryMb } = learnedSize(run.tables, request);
-  return { coreCount, memoryMb: Math.min(memoryMb, run.largestVmMemoryMb) };
+function getPlacementSize(round: PlacementRound, request: QueuedRow): JobSize {
+  const { coreCount, memoryMb } = learnedSize(round.tables, request);
+  return { coreCount, memoryMb: Math.min(memoryMb, round.largestVmMemoryMb) };
 }
 
 /**
  * Whether quota and headroom let a request start now. Headroom is kept both in the pool and in the
  * team's quota, since a team that fills its quota with overnight runs would block its own saves.
  */
-function mayStart(run: PlacementRun, request: QueuedRow): boolean {
-  const { load, owed } = run;
+function mayStart(round: PlacementRound, request: QueuedRow): boolean {
+  const { load, aged: aged } = round;
   const { team, urgency } = request;
-  const quota = getTeamQuota(run.tables.settings, team);
+  const quota = getTeamQuota(round.tables.settings, team);
   if (quota === undefined) return false;
-  const { meanMs } = run.estimator.estimate(request.jobKind);
+  const { meanMs } = round.estimator.estimate(request.jobKind);
   const headroomOf = (slotCount: number): number =>
-    owed.has(request) ? 0 : headroomSlotCount(urgency, slotCount, meanMs);
+    aged.has(request) ? 0 : headroomSlotCount(urgency, slotCount, meanMs);
   const freeQuota = quota.slotCount - load.heldByTeamCount(team);
   return (
     freeQuota > headroomOf(Math.min(quota.slotCount, load.slotCount)) &&
@@ -89,11 +89,11 @@
 }
 
 /** Finds a VM for a request, and records sizes that fit on no VM. */
-function findVm(run: PlacementRun, request: QueuedRow, size: JobSize): VmLoad | undefined {
+function findVm(round: PlacementRound, request: QueuedRow, size: JobSize): VmLoad | undefined {
   const sizeKey = `${request.urgency === 'urgent'}/${size.coreCount}/${size.memoryMb}`;
-  if (run.unfitSizes.has(sizeKey)) return undefined;
-  const chosen = chooseVm({ ...run, request, size });
-  if (chosen === undefined && request.excludedVms.length === 0) run.unfitSizes.add(sizeKey);
+  if (round.unfitSizes.has(sizeKey)) return undefined;
+  const chosen = chooseVm({ ...round, request, size });
+  if (chosen === undefined && request.excludedVms.length === 0) round.unfitSizes.add(sizeKey);
   return chosen;
 }
 
@@ -101,41 +101,41 @@
  * Reserves a VM for a large job. Small jobs fit into every gap, so without a reservation a large
  * job would starve for as long as small ones arrive.
  */
-function reserveFor(run: PlacementRun, request: QueuedRow, size: JobSize): void {
-  const { load, nowMs } = run;
-  if (run.reservedVms.size > 0 || nowMs - request.queuedAtMs < RESERVE_AFTER_MS) return;
-  const carriers = load.vmLoads.filter(
+function reserveVm(round: PlacementRound, request: QueuedRow, size: JobSize): void {
+  const { load, nowMs } = round;
+  if (round.reservedVms.size > 0 || nowMs - request.queuedAtMs < RESERVE_AFTER_MS) return;
+  const fittingLoads = load.vmLoads.filter(
     ({ vm }) =>
       vm.memoryMb >= size.memoryMb &&
       vm.coreCount >= size.coreCount &&
       !request.excludedVms.includes(vm.vm),
   );
-  const emptiest = carriers.reduce<VmLoad | undefined>(
+  const emptiest = fittingLoads.reduce<VmLoad | undefined>(
     (best, next) =>
       best === undefined || next.slackAfter(size) > best.slackAfter(size) ? next : best,
     undefined,
   );
-  if (emptiest !== undefined) run.reservedVms.add(emptiest.vm.vm);
+  if (emptiest !== undefined) round.reservedVms.add(emptiest.vm.vm);
 }
 
 /** Places a request; undefined leaves it waiting. */
-function tryPlace(run: PlacementRun, request: QueuedRow): PlacementDecision | undefined {
-  if (!mayStart(run, request)) return undefined;
-  const size = sizeOf(run, request);
-  const chosen = findVm(run, request, size);
+function tryPlace(round: PlacementRound, request: QueuedRow): PlacementDecision | undefined {
+  if (!mayStart(round, request)) return undefined;
+  const size = getPlacementSize(round, request);
+  const chosen = findVm(round, request, size);
   if (chosen === undefined) {
-    reserveFor(run, request, size);
+    reserveVm(round, request, size);
     return undefined;
   }
   const { vm } = chosen.vm;
-  run.load.countRun({ ...request, vm }, size, run.nowMs);
+  round.load.countRun({ ...request, vm }, size, round.nowMs);
   return {
     type: 'place',
     attemptId: request.attemptId,
     vm,
     coreCount: size.coreCount,
     memoryMb: size.memoryMb,
-    reason: `${chosen.usedSlotCount} of ${chosen.vm.slotCount} slots used, ${Math.floor(chosen.freeMemoryMb)} MB left, rack ${chosen.vm.rack} ${Math.round(run.load.rackLoadFraction(chosen) * 100)} % full`,
+    reason: `${chosen.usedSlotCount} of ${chosen.vm.slotCount} slots used, ${Math.floor(chosen.freeMemoryMb)} MB left, rack ${chosen.vm.rack} ${Math.round(round.load.rackLoadFraction(chosen) * 100)} % full`,
   };
 }
 
@@ -153,25 +153,25 @@
   const { nowMs } = options;
   if (tables.queue.size === 0 && tables.preemptions.size === 0) return [];
   const estimator = new RunEstimator(tables);
-  const refusals = refuseHopeless(tables, { nowMs, estimator });
+  const refusals = refuseUnservable(tables, { nowMs, estimator });
   const refusedIds = new Set(refusals.map((refusal) => refusal.attemptId));
   const requests = tables.queue.list().filter(({ attemptId }) => !refusedIds.has(attemptId));
   const load = new PoolLoad({ tables, nowMs });
   const order = orderQueue({ tables, load, requests, nowMs });
   const largestVmMemoryMb = tables.vms.list().reduce((most, vm) => Math.max(most, vm.memoryMb), 0);
-  const run: PlacementRun = {
+  const round: PlacementRound = {
     ...options,
     tables,
     load,
     estimator,
-    owed: order.owed,
+    aged: order.aged,
     largestVmMemoryMb,
     unfitSizes: new Set(),
     reservedVms: new Set(),
   };
   const waiting: QueuedRow[] = [];
   const placements = order.requests.flatMap((request): readonly PlacementDecision[] => {
-    const placement = tryPlace(run, request);
+    const placement = tryPlace(round, request);
     if (placement === undefined) waiting.push(request);
     return placement === undefined ? [] : [placement];
   });
--- a/src/systems/planCapacity.ts
+++ b/src/systems/planCapacity.ts
@@ -1,6 +1,6 @@
 import type { PoolTables, PoolVmRow, VmRow } from '../tables/index.js';
 import { hashText } from '../utils/index.js';
-import { canCarryAnyKind } from './canCarryAnyKind.js';
+import { fitsAnyJobKind } from './fitsAnyJobKind.js';
 import type { CapacityDecision } from './decisions.js';
 import { DomainSlots } from './DomainSlots.js';
 import { getMaxStepsInProgress } from './getMaxStepsInProgress.js';
@@ -16,7 +16,7 @@
 const GONE_HOLD_MS = 600_000;
 
 /** Most VMs without gain in a row after which one more is tried, as later ones may gain. */
-const MAX_GAINLESS_COUNT = 2;
+const MAX_ZERO_GAIN_COUNT = 2;
 
 /** Options of {@link planCapacity}. */
 export interface PlanCapacityOptions {
@@ -29,7 +29,7 @@
 /** What a running wave needs of a pool. */
 interface WaveNeed {
   /** VMs that it takes out at once. */
-  readonly outVmCount: number;
+  readonly unavailableVmCount: number;
   /** Whether fewer VMs are left to maintain than it could take out at once. */
   readonly isEnding: boolean;
 }
@@ -70,11 +70,11 @@
 function findWaveNeed(tables: PoolTables, steppedVms: ReadonlySet<string>): WaveNeed | undefined {
   const wave = tables.waves.list().find(({ state }) => state === 'running');
   if (wave === undefined) return undefined;
-  const leftVmCount = listUntouchedVms(tables, wave).length + steppedVms.size;
-  const rampedCount = getMaxStepsInProgress(tables, wave);
+  const remainingVmCount = listUntouchedVms(tables, wave).length + steppedVms.size;
+  const maxStepCount = getMaxStepsInProgress(tables, wave);
   return {
-    outVmCount: Math.min(leftVmCount, rampedCount),
-    isEnding: leftVmCount < rampedCount,
+    unavailableVmCount: Math.min(remainingVmCount, maxStepCount),
+    isEnding: remainingVmCount < maxStepCount,
   };
 }
 
@@ -84,7 +84,7 @@
 }
 
 /** Computes the present and the required capacity. */
-function measure(tables: PoolTables, nowMs: number): CapacityPlan {
+function measureCapacity(tables: PoolTables, nowMs: number): CapacityPlan {
   const steppedVms = listSteppedVms(tables);
   const presentVms = tables.vms.list().filter((vm) => isPresent(tables, vm, steppedVms, nowMs));
   const slots = new DomainSlots(tables.settings.availability.failureDomain);
@@ -92,8 +92,8 @@
   presentVms.forEach((vm) => slots.add(vm));
   presentVms.forEach((vm) => dataCentreSlots.add(vm));
   const waveNeed = findWaveNeed(tables, steppedVms);
-  const outVmCount = waveNeed?.outVmCount ?? 0;
-  const reserveSlotCount = outVmCount * largestVmSlotCount(tables);
+  const unavailableVmCount = waveNeed?.unavailableVmCount ?? 0;
+  const reserveSlotCount = unavailableVmCount * largestVmSlotCount(tables);
   const { maxUnavailableFraction } = tables.settings.availability;
   return {
     tables,
@@ -101,13 +101,13 @@
     slots,
     dataCentreSlots,
     targetSlotCount: tables.settings.neededSlotCount + reserveSlotCount,
-    targetVmCount: outVmCount > 0 ? Math.ceil(1 / maxUnavailableFraction) : 0,
+    targetVmCount: unavailableVmCount > 0 ? Math.ceil(1 / maxUnavailableFraction) : 0,
     waveNeed,
   };
 }
 
 /** Slots that a VM adds to those that remain after the loss of the largest domain. */
-function gainOf(slots: DomainSlots, largestSlotCount: number, vm: VmRow): number {
+function getGain(slots: DomainSlots, largestSlotCount: number, vm: VmRow): number {
   const domainSlotCount = slots.countInDomainOf(vm) + vm.slotCount;
   return vm.slotCount - Math.max(0, domainSlotCount - largestSlotCount);
 }
@@ -122,7 +122,7 @@
   missingSlotCount: number,
   largestSlotCount: number,
 ): AdoptionRank {
-  const usefulGain = Math.min(gainOf(plan.slots, largestSlotCount, vm), missingSlotCount);
+  const usefulGain = Math.min(getGain(plan.slots, largestSlotCount, vm), missingSlotCount);
   return [
     -usefulGain,
     usefulGain >= missingSlotCount ? vm.slotCount : -vm.slotCount,
@@ -163,7 +163,7 @@
   return unassignedVms
     .filter((vm) => vm.state === 'live')
     .filter((vm) => dataCentres.length === 0 || dataCentres.includes(vm.dataCentre))
-    .filter((vm) => canCarryAnyKind(plan.tables.settings, vm));
+    .filter((vm) => fitsAnyJobKind(plan.tables.settings, vm));
 }
 
 /**
@@ -178,28 +178,32 @@
   const { slots, targetSlotCount, targetVmCount } = plan;
   const domain = plan.tables.settings.availability.failureDomain;
   const decisions: CapacityDecision[] = [];
-  const isMissing = (): boolean =>
+  const needsMore = (): boolean =>
     slots.countAfterLoss() < targetSlotCount ||
     plan.presentVms.length + decisions.length < targetVmCount;
-  if (!isMissing()) return decisions;
+  if (!needsMore()) return decisions;
   let candidates = listCandidates(plan, unassignedVms);
   let usefulCount = 0;
-  while (isMissing() && decisions.length - usefulCount <= MAX_GAINLESS_COUNT) {
-    const leftSlotCount = slots.countAfterLoss();
+  while (needsMore() && decisions.length - usefulCount <= MAX_ZERO_GAIN_COUNT) {
+    const remainingSlotCount = slots.countAfterLoss();
     const isShort =
       slots.slotCount < targetSlotCount ||
       plan.presentVms.length + decisions.length < targetVmCount;
-    const picked = pickAdoption(plan, candidates, Math.max(1, targetSlotCount - leftSlotCount));
+    const picked = pickAdoption(
+      plan,
+      candidates,
+      Math.max(1, targetSlotCount - remainingSlotCount),
+    );
     if (picked === undefined) return decisions.slice(0, usefulCount);
     decisions.push({
       type: 'adopt',
       vm: picked.vm,
-      reason: `${leftSlotCount} slots would be left after the loss of a ${domain}; ${targetSlotCount} are required`,
+      reason: `${remainingSlotCount} slots would be left after the loss of a ${domain}; ${targetSlotCount} are required`,
     });
     slots.add(picked);
     plan.dataCentreSlots.add(picked);
     candidates = candidates.filter((vm) => vm.vm !== picked.vm);
-    if (isShort || slots.countAfterLoss() > leftSlotCount) usefulCount = decisions.length;
+    if (isShort || slots.countAfterLoss() > remainingSlotCount) usefulCount = decisions.length;
   }
   return decisions.slice(0, usefulCount);
 }
@@ -230,7 +234,7 @@
   const { tables, slots } = plan;
   const { maxUnavailableFraction } = tables.settings.availability;
   if (slots.countAfterLoss() < plan.targetSlotCount) return [];
-  const outCount = tables.vms.size - plan.presentVms.length;
+  const unavailableCount = tables.vms.size - plan.presentVms.length;
   const idleVms = plan.presentVms
     .filter((vm) => vm.condition === 'accepting' && !busyVms.has(vm.vm))
     .sort(
@@ -241,11 +245,11 @@
     );
   const releasedVms: string[] = [];
   idleVms.forEach((vm) => {
-    const leftVmCount = tables.vms.size - releasedVms.length - 1;
+    const remainingVmCount = tables.vms.size - releasedVms.length - 1;
     slots.remove(vm);
     const suffices =
       slots.countAfterLoss() >= plan.targetSlotCount &&
-      outCount <= Math.floor(maxUnavailableFraction * leftVmCount);
+      unavailableCount <= Math.floor(maxUnavailableFraction * remainingVmCount);
     if (suffices) releasedVms.push(vm.vm);
     else slots.add(vm);
   });
@@ -270,7 +274,7 @@
 ): readonly CapacityDecision[] {
   const { nowMs, unassignedVms } = options;
   noteLosses(tables, nowMs);
-  const plan = measure(tables, nowMs);
+  const plan = measureCapacity(tables, nowMs);
   const adoptions = planAdoptions(plan, unassignedVms);
   const busyVms = listBusyVms(tables);
   const goneReleases = planGoneReleases(tables, busyVms, nowMs);
@@ -285,6 +289,6 @@
   const sinceMs = tables.surplusSinceMs ?? nowMs;
   tables.noteSurplus(sinceMs);
   // Other pools of the wave may wait for the VMs that this pool has borrowed.
-  const lasts = plan.waveNeed?.isEnding === true || nowMs - sinceMs >= SURPLUS_HOLD_MS;
-  return lasts ? [...goneReleases, ...releases] : goneReleases;
+  const hasLasted = plan.waveNeed?.isEnding === true || nowMs - sinceMs >= SURPLUS_HOLD_MS;
+  return hasLasted ? [...goneReleases, ...releases] : goneReleases;
 }
--- a/src/systems/planPreemptions.ts
+++ b/src/systems/planPreemptions.ts
@@ -2,7 +2,7 @@
 import type { PlacementDecision } from './decisions.js';
 import { getTeamQuota } from './getTeamQuota.js';
 import { learnedSize } from './learnedSize.js';
-import { owedSlotCount } from './orderQueue.js';
+import { getGuaranteedSlotCount } from './orderQueue.js';
 import { type PoolLoad, THROTTLED_CORE_FRACTION } from './PoolLoad.js';
 
 /** How long a checkpoint may take before another run is preempted, in milliseconds. */
@@ -36,7 +36,7 @@
 }
 
 /** Resources that a preemption would free on the grant's VM. */
-function freedBy(
+function getFreedResources(
   tables: PoolTables,
   grant: GrantRow,
 ): { readonly slotCount: number; readonly coreCount: number; readonly memoryMb: number } {
@@ -63,7 +63,7 @@
   if (isAtQuota(options, request) && !helpsQuota) return false;
   const size = learnedSize(options.tables, request);
   const vmLoad = options.load.getVmLoad(grant.vm);
-  return vmLoad !== undefined && vmLoad.fits(size, freedBy(options.tables, grant));
+  return vmLoad !== undefined && vmLoad.fits(size, getFreedResources(options.tables, grant));
 }
 
 /**
@@ -76,7 +76,7 @@
     .list()
     .filter((grant) => grant.urgency === 'overnight')
     .sort((left, right) => right.grantedAtMs - left.grantedAtMs);
-  const keptCount = owedSlotCount('overnight', load.slotCount);
+  const keptCount = getGuaranteedSlotCount('overnight', load.slotCount);
   return overnight
     .slice(0, Math.max(0, overnight.length - keptCount))
     .filter((grant) => !tables.preemptions.has(grant.grantId));
--- a/src/systems/planWaveSteps.ts
+++ b/src/systems/planWaveSteps.ts
@@ -1,5 +1,5 @@
 import type { PoolTables, PoolVmRow, WaveRow, WaveStepRow } from '../tables/index.js';
-import { BudgetTally } from './BudgetTally.js';
+import { AvailabilityBudget } from './AvailabilityBudget.js';
 import type { WaveDecision } from './decisions.js';
 import { findWaveFailure, listSuspectVms } from './findWaveFailure.js';
 import { getFailureDomain } from './getFailureDomain.js';
@@ -31,7 +31,7 @@
   readonly tables: PoolTables;
   readonly wave: WaveRow;
   readonly steps: readonly WaveStepRow[];
-  readonly tally: BudgetTally;
+  readonly budget: AvailabilityBudget;
 }
 
 /** VMs still to maintain: those already unavailable first, then rack by rack. */
@@ -39,7 +39,7 @@
   const { failureDomain } = plan.tables.settings.availability;
   const sortKeys = new Map<PoolVmRow, string>();
   listUntouchedVms(plan.tables, plan.wave).forEach((vm) => {
-    const out = plan.tally.isAccepting(vm.vm) ? 1 : 0;
+    const out = plan.budget.isAccepting(vm.vm) ? 1 : 0;
     const domain = getFailureDomain(vm, failureDomain === 'data-centre' ? failureDomain : 'rack');
     sortKeys.set(vm, [out, domain, getFailureDomain(vm, 'rack'), vm.worker, vm.vm].join(' '));
   });
@@ -54,35 +54,38 @@
  * by one as VMs come back. The order rotates each minute, so that a pool that cannot begin does
  * not hold up the others.
  */
-function isPoolsTurn(plan: WavePlan): boolean {
+function mayPoolBegin(plan: WavePlan): boolean {
   if (plan.fleetProgress === undefined) return true;
   const { pools } = plan.wave;
   const fleet = plan.fleetProgress.get(plan.wave.wave) ?? NO_PROGRESS;
-  const place = pools.indexOf(plan.tables.pool) - (plan.minuteOfDay % pools.length);
-  const turn = (place + pools.length) % pools.length;
-  return turn <= fleet.maintainedVmCount && fleet.inProgressVmCount <= fleet.maintainedVmCount;
+  const rotatedIndex = pools.indexOf(plan.tables.pool) - (plan.minuteOfDay % pools.length);
+  const position = (rotatedIndex + pools.length) % pools.length;
+  return position <= fleet.maintainedVmCount && fleet.inProgressVmCount <= fleet.maintainedVmCount;
 }
 
 /** Takes VMs in order until the budget would be exceeded with the next one out in addition. */
-function takeWithinBudget(plan: WavePlan, candidates: readonly PoolVmRow[]): readonly PoolVmRow[] {
+function selectWithinBudget(
+  plan: WavePlan,
+  candidates: readonly PoolVmRow[],
+): readonly PoolVmRow[] {
   const taken: PoolVmRow[] = [];
   candidates.every((vm) => {
-    const wasAccepting = plan.tally.isAccepting(vm.vm);
-    plan.tally.takeOut(vm.vm);
-    const holds = plan.tally.verdict().type === 'within';
-    if (holds) taken.push(vm);
-    else if (wasAccepting) plan.tally.count(vm);
-    return holds;
+    const wasAccepting = plan.budget.isAccepting(vm.vm);
+    plan.budget.takeOut(vm.vm);
+    const isWithin = plan.budget.verdict().type === 'within';
+    if (isWithin) taken.push(vm);
+    else if (wasAccepting) plan.budget.count(vm);
+    return isWithin;
   });
   return taken;
 }
 
 /** Explains why the budget allows no step although VMs remain. */
 function explainBudget(plan: WavePlan, candidate: PoolVmRow): string {
-  const wasAccepting = plan.tally.isAccepting(candidate.vm);
-  plan.tally.takeOut(candidate.vm);
-  const verdict = plan.tally.verdict();
-  if (wasAccepting) plan.tally.count(candidate);
+  const wasAccepting = plan.budget.isAccepting(candidate.vm);
+  plan.budget.takeOut(candidate.vm);
+  const verdict = plan.budget.verdict();
+  if (wasAccepting) plan.budget.count(candidate);
   return verdict.type === 'exceeded' ? verdict.reason : 'the budget allows no further VM';
 }
 
@@ -104,23 +107,23 @@
     return wait('the maintenance window is closed');
   }
   const inProgressCount = plan.steps.filter((step) => step.state === 'intended').length;
-  if (plan.steps.length === 0 && !isPoolsTurn(plan)) {
+  if (plan.steps.length === 0 && !mayPoolBegin(plan)) {
     return wait('other pools of the wave begin first');
   }
   const freeCount = getMaxStepsInProgress(plan.tables, plan.wave) - inProgressCount;
   if (freeCount <= 0) return wait(`${inProgressCount} steps are in progress`);
-  const taken = takeWithinBudget(plan, remainingVms.slice(0, freeCount));
+  const taken = selectWithinBudget(plan, remainingVms.slice(0, freeCount));
   if (taken.length === 0) return wait(explainBudget(plan, remainingVms[0]!));
   return taken.map((vm) => ({
     type: 'start-step',
     wave,
     vm: vm.vm,
-    reason: `within the budget: ${plan.tally.outVmCount} VMs unavailable, ${plan.tally.allowedOutVmCount} allowed`,
+    reason: `within the budget: ${plan.budget.unavailableVmCount} VMs unavailable, ${plan.budget.maxUnavailableVmCount} allowed`,
   }));
 }
 
 /** Records the failures of a paused wave as accepted, since whoever resumes it accepts them. */
-function forgive(plan: WavePlan): void {
+function acceptFailures(plan: WavePlan): void {
   plan.tables.waveWatches.put({ wave: plan.wave.wave, forgivenVms: listSuspectVms(plan) });
 }
 
@@ -138,13 +141,13 @@
   noteLosses(tables, options.nowMs);
   const waves = tables.waves.list();
   if (waves.length === 0) return [];
-  const tally = new BudgetTally({ tables, nowMs: options.nowMs });
+  const budget = new AvailabilityBudget({ tables, nowMs: options.nowMs });
   const allSteps = tables.waveSteps.list();
   return waves.flatMap((wave) => {
     const steps = allSteps.filter((step) => step.wave === wave.wave);
-    const plan: WavePlan = { ...options, tables, wave, steps, tally };
+    const plan: WavePlan = { ...options, tables, wave, steps, budget: budget };
     if (wave.state === 'running') return planWave(plan);
-    forgive(plan);
+    acceptFailures(plan);
     return [];
   });
 }
--- a/src/systems/recordRun.ts
+++ b/src/systems/recordRun.ts
@@ -1,10 +1,10 @@
 import type { GrantResult } from '../peers/index.js';
 import type { JobKindHistoryRow, PoolTables, VmHealthRow } from '../tables/index.js';
-import { BudgetTally } from './BudgetTally.js';
+import { AvailabilityBudget } from './AvailabilityBudget.js';
 import type { RunVerdict } from './decisions.js';
 import { MEMORY_FLOOR_FRACTION } from './learnedSize.js';
 import { quantile } from './quantile.js';
-import { MAX_FAILED_VM_COUNT } from './refuseHopeless.js';
+import { MAX_FAILED_VM_COUNT } from './refuseUnservable.js';
 
 /** Number of latest runs over which the quantiles of a kind are computed. */
 const RECENT_RUN_COUNT = 64;
@@ -39,19 +39,19 @@
 }
 
 /** Appends a value to a list and keeps only the latest ones. */
-function withLatest(values: readonly number[], value: number): readonly number[] {
+function appendRecent(values: readonly number[], value: number): readonly number[] {
   return [...values, value].slice(-RECENT_RUN_COUNT);
 }
 
 /** Updates the run time and memory of a kind after a successful run. */
-function learn(tables: PoolTables, run: RecordRunOptions): void {
+function updateHistory(tables: PoolTables, run: RecordRunOptions): void {
   const before: JobKindHistoryRow | undefined = tables.history.get(run.jobKind);
   const declaredMemoryMb = tables.settings.jobKinds[run.jobKind]?.memoryMb ?? 0;
-  const recentRunMs = withLatest(before?.recentRunMs ?? [], run.ranMs);
+  const recentRunMs = appendRecent(before?.recentRunMs ?? [], run.ranMs);
   const recentMemoryMb =
     run.usedMemoryMb === undefined
       ? (before?.recentMemoryMb ?? [])
-      : withLatest(before?.recentMemoryMb ?? [], run.usedMemoryMb);
+      : appendRecent(before?.recentMemoryMb ?? [], run.usedMemoryMb);
   const measuredMemoryMb =
     recentMemoryMb.length === 0 ? declaredMemoryMb : quantile(recentMemoryMb, LEARNED_QUANTILE);
   tables.history.put({
@@ -65,7 +65,7 @@
 }
 
 /** Clears the recorded failures of a VM after a successful run. */
-function trust(tables: PoolTables, run: RecordRunOptions): readonly RunVerdict[] {
+function clearFailures(tables: PoolTables, run: RecordRunOptions): readonly RunVerdict[] {
   const health = tables.health.get(run.vm);
   tables.health.remove(run.vm);
   const wasQuarantined = health?.quarantinedUntilMs !== undefined;
@@ -73,7 +73,7 @@
 }
 
 /** Removes a request's failures from every VM, once the request itself is found at fault. */
-function acquitVms(tables: PoolTables, requestId: string): void {
+function clearRequestFailures(tables: PoolTables, requestId: string): void {
   tables.health
     .list()
     .filter((health) => health.failedRequestIds.includes(requestId))
@@ -85,7 +85,7 @@
 }
 
 /** Adds a failed attempt to the recorded failures of its VM. */
-function noteFailure(tables: PoolTables, run: RecordRunOptions): VmHealthRow {
+function recordFailure(tables: PoolTables, run: RecordRunOptions): VmHealthRow {
   const before = tables.health.get(run.vm);
   const health: VmHealthRow = {
     vm: run.vm,
@@ -108,7 +108,7 @@
 }
 
 /** Returns why a VM has to be quarantined, or undefined if it does not. */
-function findFault(tables: PoolTables, health: VmHealthRow): string | undefined {
+function findQuarantineReason(tables: PoolTables, health: VmHealthRow): string | undefined {
   const failedAfterTrial = health.quarantineCount > 0;
   if (failedAfterTrial) return 'the first run after its quarantine failed';
   const kinds = health.failedJobKinds.filter((kind) => !isKindAtFault(tables, kind));
@@ -124,18 +124,19 @@
  * Quarantines a VM if the budget allows. Wrong quarantines, because of a broken job or a broken
  * network, must not empty the pool; a VM that the budget exempts still gets single trial runs.
  */
-function quarantine(
+function quarantineIfAllowed(
   tables: PoolTables,
   run: RecordRunOptions,
   health: VmHealthRow,
 ): readonly RunVerdict[] {
-  const isHeld = health.quarantinedUntilMs !== undefined && run.nowMs < health.quarantinedUntilMs;
-  const reason = findFault(tables, health);
-  if (isHeld || reason === undefined) return [];
-  const tally = new BudgetTally({ tables, nowMs: run.nowMs });
-  if (tally.isAccepting(run.vm)) {
-    tally.takeOut(run.vm);
-    if (tally.verdict().type === 'exceeded') return [];
+  const isInQuarantine =
+    health.quarantinedUntilMs !== undefined && run.nowMs < health.quarantinedUntilMs;
+  const reason = findQuarantineReason(tables, health);
+  if (isInQuarantine || reason === undefined) return [];
+  const budget = new AvailabilityBudget({ tables, nowMs: run.nowMs });
+  if (budget.isAccepting(run.vm)) {
+    budget.takeOut(run.vm);
+    if (budget.verdict().type === 'exceeded') return [];
   }
   const lengthMs = Math.min(MAX_QUARANTINE_MS, FIRST_QUARANTINE_MS * 2 ** health.quarantineCount);
   const untilMs = run.nowMs + lengthMs;
@@ -153,16 +154,16 @@
  */
 export function recordRun(tables: PoolTables, run: RecordRunOptions): readonly RunVerdict[] {
   if (run.result === 'run') {
-    learn(tables, run);
-    return trust(tables, run);
+    updateHistory(tables, run);
+    return clearFailures(tables, run);
   }
   // Cancellations, even many at once, are no evidence against the VMs that ran the jobs.
   if (run.result === 'cancelled') return [];
   const failedVms = new Set([...run.excludedVms, run.vm]);
   if (failedVms.size >= MAX_FAILED_VM_COUNT) {
-    acquitVms(tables, run.requestId);
+    clearRequestFailures(tables, run.requestId);
     const reason = `it failed on ${failedVms.size} VMs: ${[...failedVms].join(', ')}`;
     return [{ type: 'blame-job', requestId: run.requestId, reason }];
   }
-  return quarantine(tables, run, noteFailure(tables, run));
+  return quarantineIfAllowed(tables, run, recordFailure(tables, run));
 }
--- a/src/systems/refuseHopeless.ts
+++ b/src/systems/refuseUnservable.ts
@@ -17,13 +17,13 @@
  * most. A request that already waits is refused only if that is clear, since estimates fluctuate.
  * Waits estimated from declared run times count for less.
  */
-const BELIEVED_OF_NEW_FRACTION = 1;
-const BELIEVED_OF_WAITING_FRACTION = 0.6;
-const BELIEVED_OF_DECLARED_FRACTION = 0.5;
+const NEW_REQUEST_WAIT_FACTOR = 1;
+const WAITING_REQUEST_WAIT_FACTOR = 0.6;
+const DECLARED_RUN_TIME_WAIT_FACTOR = 0.5;
 /** How long a request counts as new, in milliseconds. */
 const NEW_REQUEST_MS = 300;
 
-/** Options of {@link refuseHopeless} and {@link refuseLate}. */
+/** Options of {@link refuseUnservable} and {@link refuseLate}. */
 export interface RefuseOptions {
   /** Monotonic time, in milliseconds. */
   readonly nowMs: number;
@@ -48,7 +48,7 @@
 }
 
 /** Finds why a request cannot be served, whatever the load. */
-function findImpossible(
+function findRefusalCause(
   tables: PoolTables,
   vms: readonly PoolVmRow[],
   request: QueuedRow,
@@ -101,7 +101,7 @@
 }
 
 /** Refuses the youngest requests of teams with more queued requests than their quota allows. */
-function refuseOverfull(
+function refuseBeyondQueueLimit(
   tables: PoolTables,
   requests: readonly QueuedRow[],
   options: RefuseOptions,
@@ -137,24 +137,24 @@
  * @param options - Time and estimates of run times.
  * @returns Refusals with their kind and retry time.
  */
-export function refuseHopeless(tables: PoolTables, options: RefuseOptions): readonly Refusal[] {
+export function refuseUnservable(tables: PoolTables, options: RefuseOptions): readonly Refusal[] {
   const requests = tables.queue.list();
   const vms = tables.vms.list();
-  const impossible = requests.flatMap((request): readonly Refusal[] => {
-    const found = findImpossible(tables, vms, request, options);
+  const refusals = requests.flatMap((request): readonly Refusal[] => {
+    const found = findRefusalCause(tables, vms, request, options);
     return found === undefined ? [] : [{ type: 'refuse', attemptId: request.attemptId, ...found }];
   });
-  const refusedIds = new Set(impossible.map((refusal) => refusal.attemptId));
-  const possible = requests.filter((request) => !refusedIds.has(request.attemptId));
-  return [...impossible, ...refuseOverfull(tables, possible, options)];
+  const refusedIds = new Set(refusals.map((refusal) => refusal.attemptId));
+  const remaining = requests.filter((request) => !refusedIds.has(request.attemptId));
+  return [...refusals, ...refuseBeyondQueueLimit(tables, remaining, options)];
 }
 
 /** Factor by which a request's estimated wait is multiplied. */
-function believedFraction(request: QueuedRow, options: RefuseOptions): number {
+function getWaitFactor(request: QueuedRow, options: RefuseOptions): number {
   const { nowMs, estimator } = options;
-  if (!estimator.estimate(request.jobKind).isMeasured) return BELIEVED_OF_DECLARED_FRACTION;
+  if (!estimator.estimate(request.jobKind).isMeasured) return DECLARED_RUN_TIME_WAIT_FACTOR;
   const isNew = nowMs - request.queuedAtMs < NEW_REQUEST_MS;
-  return isNew ? BELIEVED_OF_NEW_FRACTION : BELIEVED_OF_WAITING_FRACTION;
+  return isNew ? NEW_REQUEST_WAIT_FACTOR : WAITING_REQUEST_WAIT_FACTOR;
 }
 
 /**
@@ -176,8 +176,8 @@
   return waiting.flatMap((request): readonly Refusal[] => {
     const { meanMs, longMs } = options.estimator.estimate(request.jobKind);
     const waitMs = workAheadMs / slotCount;
-    const believedWaitMs = waitMs * believedFraction(request, options);
-    if (options.nowMs + believedWaitMs + longMs <= request.deadlineMs) {
+    const weightedWaitMs = waitMs * getWaitFactor(request, options);
+    if (options.nowMs + weightedWaitMs + longMs <= request.deadlineMs) {
       workAheadMs += meanMs;
       return [];
     }
--- a/src/systems/shouldHoldHomes.ts
+++ b/src/systems/shouldHoldHomes.ts
@@ -18,7 +18,7 @@
 }
 
 /** Factor of processor capacity from which another instance counts as larger. */
-const LARGER_FACTOR = 2;
+const LARGER_CORE_RATIO = 2;
 /** Larger instances that must hold partitions before a small one leaves: two may fail at once. */
 const LARGER_COUNT_TO_LEAVE = 3;
 /** Larger instances below which a small one takes part again. */
@@ -28,11 +28,11 @@
  * Tells whether an instance is so much larger than another that the other leaves the homes to it.
  * @param instance - The instance.
  * @param other - The other instance.
- * @returns Whether it has at least {@link LARGER_FACTOR} times the cores, and no slower a link.
+ * @returns Whether it has at least {@link LARGER_CORE_RATIO} times the cores, and no slower a link.
  */
 export function isLarger(instance: HomeCapacity, other: HomeCapacity): boolean {
   return (
-    instance.coreCount >= LARGER_FACTOR * other.coreCount && instance.linkMbps >= other.linkMbps
+    instance.coreCount >= LARGER_CORE_RATIO * other.coreCount && instance.linkMbps >= other.linkMbps
   );
 }
 
--- a/tests/systems/fixtures.ts
+++ b/tests/systems/fixtures.ts
@@ -55,8 +55,8 @@
 /** Makes a pool whose racks have four VMs of four slots each. */
 export function makePool(rackCount: number, settings = makeSettings()): PoolTables {
   const tables = new PoolTables(POOL, settings);
-  const places = Array.from({ length: rackCount * 4 }, (ignored, place) => place);
-  places.forEach((place) => tables.vms.put(makeVm(Math.floor(place / 4), place % 4)));
+  const indices = Array.from({ length: rackCount * 4 }, (ignored, place) => place);
+  indices.forEach((index) => tables.vms.put(makeVm(Math.floor(index / 4), index % 4)));
   return tables;
 }
 
--- a/tests/systems/shouldHoldHomes.test.ts
+++ b/tests/systems/shouldHoldHomes.test.ts
@@ -4,7 +4,7 @@
 const SMALL: HomeCapacity = { coreCount: 0.324, linkMbps: 10 };
 const LARGE: HomeCapacity = { coreCount: 1.35, linkMbps: 200 };
 
-function choose(own: HomeCapacity, others: readonly HomeCapacity[], isMember = true): boolean {
+function shouldHold(own: HomeCapacity, others: readonly HomeCapacity[], isMember = true): boolean {
   return shouldHoldHomes({ own, others, isMember, areHomesSilent: false });
 }
 
@@ -13,19 +13,19 @@
   // idle. The busiest homes were held by instances with links of 10 Mbit/s, which were too slow for
   // the reports of their targets.
   it('leaves the homes to several larger instances', () => {
-    expect(choose(SMALL, [LARGE, LARGE, LARGE, SMALL])).toBe(false);
-    expect(choose(LARGE, [LARGE, LARGE, LARGE, SMALL])).toBe(true);
-    expect(choose(SMALL, [LARGE, LARGE, SMALL, SMALL])).toBe(true);
+    expect(shouldHold(SMALL, [LARGE, LARGE, LARGE, SMALL])).toBe(false);
+    expect(shouldHold(LARGE, [LARGE, LARGE, LARGE, SMALL])).toBe(true);
+    expect(shouldHold(SMALL, [LARGE, LARGE, SMALL, SMALL])).toBe(true);
   });
 
   it('takes part where all are alike, or nobody is known', () => {
-    expect(choose(SMALL, Array<HomeCapacity>(8).fill(SMALL))).toBe(true);
-    expect(choose(SMALL, [], false)).toBe(true);
+    expect(shouldHold(SMALL, Array<HomeCapacity>(8).fill(SMALL))).toBe(true);
+    expect(shouldHold(SMALL, [], false)).toBe(true);
   });
 
   it('takes part again once larger instances are few, not after the loss of one', () => {
-    expect(choose(SMALL, [LARGE, LARGE], false)).toBe(false);
-    expect(choose(SMALL, [LARGE], false)).toBe(true);
+    expect(shouldHold(SMALL, [LARGE, LARGE], false)).toBe(false);
+    expect(shouldHold(SMALL, [LARGE], false)).toBe(true);
   });
 
   // Guards against homes without a live holder: every large instance loses power, but the group
@@ -39,6 +39,6 @@
 
   it('does not leave the homes to instances whose link is slower', () => {
     const slow = { coreCount: 4, linkMbps: 7 };
-    expect(choose(SMALL, [slow, slow, slow])).toBe(true);
+    expect(shouldHold(SMALL, [slow, slow, slow])).toBe(true);
   });
 });
