--- a/bench/jobs/homeLoad.ts
+++ b/bench/jobs/homeLoad.ts
@@ -73,7 +73,7 @@
     mechanisms: ALL_MECHANISMS,
     metrics: new ScrapedMetrics({ clock }),
     getEntries: () => entries,
-    isCertain: () => true,
+    isGroupLeaseHeld: () => true,
     onReplaced: () => undefined,
   });
 }
--- a/src/jobNode/JobNode.ts
+++ b/src/jobNode/JobNode.ts
@@ -108,7 +108,7 @@
     this.gateway = new JobGateway({
       instance,
       peers: this.peers,
-      handleHere: (request) => handleJobRequest(this.homes?.get(request.pool), request),
+      handleLocally: (request) => handleJobRequest(this.homes?.get(request.pool), request),
       directory: this.homeDirectory,
       partitions: this.partitions,
       clock,
@@ -186,7 +186,7 @@
     const { coreCount } = capacity;
     const { peers } = this;
     const listRelays = (): readonly PeerAddress[] =>
-      this.homeDirectory.listOthers(this.partitions.listUsed());
+      this.homeDirectory.listIdleMembers(this.partitions.listUsedPartitions());
     const { targets } = ports;
     return new RelayedTargets({ targets, peers, coreCount, listRelays, clock, events });
   }
@@ -283,9 +283,9 @@
       case 'sync-pool':
         return handleJobRequest(this.homes?.get(request.pool), request);
       case 'list-homes':
-        return this.homeDirectory.tell();
+        return this.homeDirectory.getOwnersReply();
       case 'announce-member':
-        this.homeDirectory.noteMember(request.member);
+        this.homeDirectory.addAnnouncedMember(request.member);
         return { type: 'done' };
       case 'call-target':
         return relayTargetCall(this.options.ports.targets, request);
--- a/src/taskHome/GroupMembership.ts
+++ b/src/taskHome/GroupMembership.ts
@@ -34,7 +34,7 @@
 }
 
 /** Pause before an early renewal, in milliseconds: a few round trips to the group. */
-const SHORT_PAUSE_MS = 60;
+const EARLY_RENEWAL_PAUSE_MS = 60;
 /** Margin by which this member's own lease is shorter than the time to live, for clock drift. */
 const LEASE_MARGIN_MS = 200;
 
@@ -79,7 +79,7 @@
 
   /** Joins the group, and renews the membership until it is stopped. */
   start(): void {
-    void this.renewAll();
+    void this.runRenewals();
   }
 
   /** Stops renewals and leaves the group, so that other members take over at once. */
@@ -101,24 +101,24 @@
    * Tells whether the share certainly has not been assigned to other members.
    * @returns Whether the lease on the share holds at this moment.
    */
-  isCertain(): boolean {
+  isLeaseHeld(): boolean {
     return this.lease.isHeld();
   }
 
-  private async renewAll(): Promise<void> {
+  private async runRenewals(): Promise<void> {
     while (!this.isStopped) {
       const { generation } = this;
-      const begunAtMs = this.options.clock.monotonicMs();
+      const startedAtMs = this.options.clock.monotonicMs();
       // eslint-disable-next-line no-await-in-loop -- one renewal follows the other
-      const isAnswered = await this.takePart();
+      const isAnswered = await this.renewOrLeave();
       // A partition is reassigned only once its holder has joined with the new generation, and its
       // next holder learns of this by joining again; until then the partition has no home.
-      const isChanging = generation !== this.generation;
+      const hasNewGeneration = generation !== this.generation;
       const pauseMs = isAnswered
         ? this.options.groupTiming.renewEveryMs
-        : this.getPauseAfterLossMs(begunAtMs);
+        : this.getPauseAfterFailureMs(startedAtMs);
       // eslint-disable-next-line no-await-in-loop -- the pause belongs between two renewals
-      await sleep(isChanging ? SHORT_PAUSE_MS : pauseMs);
+      await sleep(hasNewGeneration ? EARLY_RENEWAL_PAUSE_MS : pauseMs);
     }
   }
 
@@ -128,17 +128,17 @@
    * live, and the share would go to others. A renewal that is rejected at once is followed by the
    * usual pause.
    */
-  private getPauseAfterLossMs(begunAtMs: number): number {
+  private getPauseAfterFailureMs(startedAtMs: number): number {
     const { clock, groupTiming } = this.options;
-    const waitedMs = clock.monotonicMs() - begunAtMs;
-    return Math.max(SHORT_PAUSE_MS, groupTiming.renewEveryMs - waitedMs);
+    const waitedMs = clock.monotonicMs() - startedAtMs;
+    return Math.max(EARLY_RENEWAL_PAUSE_MS, groupTiming.renewEveryMs - waitedMs);
   }
 
   /**
    * Renews the membership, or leaves the group if others should hold the partitions.
    * @returns Whether the group answered; true if no renewal was attempted.
    */
-  private async takePart(): Promise<boolean> {
+  private async renewOrLeave(): Promise<boolean> {
     if (this.options.shouldHold(this.isMember)) {
       this.isMember = true;
       return this.renew();
--- a/src/taskHome/HomeDirectory.ts
+++ b/src/taskHome/HomeDirectory.ts
@@ -17,16 +17,16 @@
 }
 
 /** Minimum time between two reads that calls request, in milliseconds: store calls are shared. */
-const ASKED_GAP_MS = 150;
+const MIN_READ_GAP_MS = 150;
 /** Peers queried concurrently if the group does not answer: several may be cut off as well. */
 const ASKED_PEER_COUNT = 3;
 /** Longest wait for the group before a peer's query is answered, in milliseconds. */
-const LOOK_WAIT_MS = 200;
+const GROUP_WAIT_MS = 200;
 /** Longest wait for a peer's reply, which callers wait for, in milliseconds; usually it takes 5. */
-const PEER_WAIT_MS = 400;
+const PEER_REPLY_WAIT_MS = 400;
 
 /** How long an announced member is known, in milliseconds: a few announcement intervals. */
-const ANNOUNCED_FOR_MS = 3_000;
+const ANNOUNCEMENT_TTL_MS = 3_000;
 
 const MEMBER_PATTERN = /^([^@]+)@([^:]+):(\d+)\/([\d.]+),([\d.]+)$/;
 
@@ -62,24 +62,24 @@
 }
 
 /** Owners of partitions, and when they were read from the group. */
-interface OwnersReading {
+interface OwnersSnapshot {
   readonly rows: readonly PartitionOwner[];
   /** By the monotonic clock. */
   readonly readAtMs: number;
 }
 
-const NOTHING_READ: OwnersReading = { rows: [], readAtMs: Number.NEGATIVE_INFINITY };
+const EMPTY_SNAPSHOT: OwnersSnapshot = { rows: [], readAtMs: Number.NEGATIVE_INFINITY };
 
 function parseOwners(rows: readonly PartitionOwner[]): ReadonlyMap<number, GroupMember> {
-  const known = rows.flatMap(({ partition, member: name }): readonly [number, GroupMember][] => {
+  const parsed = rows.flatMap(({ partition, member: name }): readonly [number, GroupMember][] => {
     const member = parseMember(name);
     return member === undefined ? [] : [[partition, member]];
   });
-  return new Map(known);
+  return new Map(parsed);
 }
 
 /** Removes duplicate members; the last entry of each instance is kept. */
-function listOnce(members: readonly GroupMember[]): readonly GroupMember[] {
+function removeDuplicates(members: readonly GroupMember[]): readonly GroupMember[] {
   return [...new Map(members.map((member) => [member.address.instance, member])).values()];
 }
 
@@ -96,7 +96,7 @@
 
   private owners: ReadonlyMap<number, GroupMember> = new Map();
 
-  private latest = NOTHING_READ;
+  private latestSnapshot = EMPTY_SNAPSHOT;
 
   /** Members that have announced themselves, by instance, and when their announcements expire. */
   private readonly announced = new Map<
@@ -105,14 +105,14 @@
   >();
 
   /** When the last read ended, with or without an answer, by the monotonic clock. */
-  private triedAtMs = Number.NEGATIVE_INFINITY;
+  private lastAttemptAtMs = Number.NEGATIVE_INFINITY;
 
   /** Index of the peer that is queried next, among the other members. */
-  private nextPeer = 0;
+  private nextPeerIndex = 0;
 
-  private reading: Promise<void> | undefined;
+  private pendingRefresh: Promise<void> | undefined;
 
-  private readingGroup: Promise<boolean> | undefined;
+  private pendingGroupRead: Promise<boolean> | undefined;
 
   private readonly outage: OutageLog;
 
@@ -139,7 +139,7 @@
    * @param partitions - Numbers of the partitions that cause work.
    * @returns Their addresses, without duplicates.
    */
-  listOthers(partitions: readonly number[]): readonly PeerAddress[] {
+  listIdleMembers(partitions: readonly number[]): readonly PeerAddress[] {
     const busy = new Set(
       partitions.map((partition) => this.owners.get(partition)?.address.instance),
     );
@@ -151,12 +151,12 @@
   /**
    * Lists the capacities of the members that hold partitions or have announced themselves, except
    * one.
-   * @param instance - Id of the instance that is left out.
+   * @param excludedInstance - Id of the instance that is left out.
    * @returns The capacities of the others.
    */
-  listCapacities(instance: string): readonly HomeCapacity[] {
-    return listOnce([...this.listAnnounced(), ...this.listMembers()])
-      .filter(({ address }) => address.instance !== instance)
+  listCapacities(excludedInstance: string): readonly HomeCapacity[] {
+    return removeDuplicates([...this.listAnnounced(), ...this.listMembers()])
+      .filter(({ address }) => address.instance !== excludedInstance)
       .map(({ capacity }) => capacity);
   }
 
@@ -173,10 +173,10 @@
    * Records a member that has announced itself. A name with another format is ignored.
    * @param name - Its name in the group.
    */
-  noteMember(name: string): void {
+  addAnnouncedMember(name: string): void {
     const member = parseMember(name);
     if (member === undefined) return;
-    const untilMs = this.options.clock.monotonicMs() + ANNOUNCED_FOR_MS;
+    const untilMs = this.options.clock.monotonicMs() + ANNOUNCEMENT_TTL_MS;
     this.announced.set(member.address.instance, { member, untilMs });
   }
 
@@ -185,7 +185,7 @@
    * @returns The members, without duplicates.
    */
   listMembers(): readonly GroupMember[] {
-    return listOnce([...this.owners.values()]);
+    return removeDuplicates([...this.owners.values()]);
   }
 
   /**
@@ -194,10 +194,10 @@
    * other.
    * @returns The owners with the age of their read; a refusal if none were read yet.
    */
-  async tell(): Promise<PeerReply> {
-    if (this.ageMs > ASKED_GAP_MS) await Promise.race([this.readGroup(), sleep(LOOK_WAIT_MS)]);
-    const { rows, readAtMs } = this.latest;
-    if (readAtMs === NOTHING_READ.readAtMs) {
+  async getOwnersReply(): Promise<PeerReply> {
+    if (this.ageMs > MIN_READ_GAP_MS) await Promise.race([this.readGroup(), sleep(GROUP_WAIT_MS)]);
+    const { rows, readAtMs } = this.latestSnapshot;
+    if (readAtMs === EMPTY_SNAPSHOT.readAtMs) {
       return {
         type: 'refused',
         kind: 'home-unavailable',
@@ -210,36 +210,36 @@
   /** Reads the owners unless they were read recently; without an answer, the old ones are kept. */
   refresh(): Promise<void> {
     const { clock } = this.options;
-    if (clock.monotonicMs() - this.triedAtMs < ASKED_GAP_MS) return Promise.resolve();
-    this.reading ??= this.read().finally(() => {
-      this.reading = undefined;
+    if (clock.monotonicMs() - this.lastAttemptAtMs < MIN_READ_GAP_MS) return Promise.resolve();
+    this.pendingRefresh ??= this.read().finally(() => {
+      this.pendingRefresh = undefined;
     });
-    return this.reading;
+    return this.pendingRefresh;
   }
 
   /** Time since this instance or a peer read the owners from the group. */
   private get ageMs(): number {
-    return this.options.clock.monotonicMs() - this.latest.readAtMs;
+    return this.options.clock.monotonicMs() - this.latestSnapshot.readAtMs;
   }
 
   private async read(): Promise<void> {
     if (!(await this.readGroup())) await this.askPeers();
-    this.triedAtMs = this.options.clock.monotonicMs();
+    this.lastAttemptAtMs = this.options.clock.monotonicMs();
   }
 
   /** Reads the owners from the group, one read at a time; returns whether the group answered. */
   private readGroup(): Promise<boolean> {
-    this.readingGroup ??= this.listOwners().finally(() => {
-      this.readingGroup = undefined;
+    this.pendingGroupRead ??= this.listOwners().finally(() => {
+      this.pendingGroupRead = undefined;
     });
-    return this.readingGroup;
+    return this.pendingGroupRead;
   }
 
   private async listOwners(): Promise<boolean> {
     const { groups, group, clock } = this.options;
     try {
       const rows = await groups.listOwners(group);
-      this.take({ rows, readAtMs: clock.monotonicMs() });
+      this.applySnapshot({ rows, readAtMs: clock.monotonicMs() });
       this.outage.noteSuccess();
       return true;
     } catch (thrown) {
@@ -248,10 +248,10 @@
     }
   }
 
-  private take(reading: OwnersReading): void {
-    if (reading.readAtMs <= this.latest.readAtMs) return;
-    this.latest = reading;
-    this.owners = parseOwners(reading.rows);
+  private applySnapshot(snapshot: OwnersSnapshot): void {
+    if (snapshot.readAtMs <= this.latestSnapshot.readAtMs) return;
+    this.latestSnapshot = snapshot;
+    this.owners = parseOwners(snapshot.rows);
   }
 
   /** Adopts owners that peers have read more recently; each attempt queries the next peers. */
@@ -260,9 +260,9 @@
     const others = this.listMembers()
       .map(({ address }) => address)
       .filter((address) => address.instance !== instance);
-    const turned = [...others.slice(this.nextPeer), ...others.slice(0, this.nextPeer)];
-    this.nextPeer = (this.nextPeer + ASKED_PEER_COUNT) % Math.max(1, others.length);
-    const asked = turned.slice(0, ASKED_PEER_COUNT);
+    const rotated = [...others.slice(this.nextPeerIndex), ...others.slice(0, this.nextPeerIndex)];
+    this.nextPeerIndex = (this.nextPeerIndex + ASKED_PEER_COUNT) % Math.max(1, others.length);
+    const asked = rotated.slice(0, ASKED_PEER_COUNT);
     await Promise.all(asked.map((address) => this.askPeer(address)));
   }
 
@@ -271,9 +271,9 @@
     const askedAtMs = clock.monotonicMs();
     // A peer that does not reply is ignored; the connection to it logs its own failures.
     const reply = await peers
-      .call(address, { type: 'list-homes' }, PEER_WAIT_MS)
+      .call(address, { type: 'list-homes' }, PEER_REPLY_WAIT_MS)
       .catch(() => undefined);
     if (reply?.type !== 'homes') return;
-    this.take({ rows: reply.owners, readAtMs: askedAtMs - reply.ageMs });
+    this.applySnapshot({ rows: reply.owners, readAtMs: askedAtMs - reply.ageMs });
   }
 }
--- a/src/taskHome/JobGateway.ts
+++ b/src/taskHome/JobGateway.ts
@@ -15,7 +15,7 @@
   readonly instance: string;
   readonly peers: PeerPort;
   /** Handles a request for which this instance is the home. */
-  readonly handleHere: (request: DurableJobRequest) => Promise<PeerReply>;
+  readonly handleLocally: (request: DurableJobRequest) => Promise<PeerReply>;
   readonly directory: HomeDirectory;
   readonly partitions: PoolPartitions;
   readonly clock: Clock;
@@ -27,18 +27,18 @@
 /** Longest wait for one reply, in milliseconds; above the latency of a store at 1 % speed. */
 const CALL_WAIT_MS = 1_200;
 /** Longest search for a home: a takeover takes about 2.5 s, and callers do not wait longer. */
-const SEARCH_MS = 2_500;
+const HOME_SEARCH_MS = 2_500;
 
 /** Time without a reply of any home, despite calls, after which homes count as silent. */
 const SILENT_AFTER_MS = 1_500;
 
 /** How long a drain lasts without another message, in milliseconds: ten checks of the fleet. */
-const DRAINED_FOR_MS = 3_000;
+const DRAIN_DURATION_MS = 3_000;
 
-const RETRYABLE: ReadonlySet<string> = new Set(['home-unavailable', 'peer-unavailable']);
+const RETRYABLE_KINDS: ReadonlySet<string> = new Set(['home-unavailable', 'peer-unavailable']);
 
 /** Outcome of one attempt to call a home. */
-type Try =
+type CallOutcome =
   | { readonly type: 'reply'; readonly reply: PeerReply }
   | { readonly type: 'again'; readonly error: RattanliftError };
 
@@ -123,9 +123,9 @@
     drainedTargets: readonly string[],
     ended: EndedTargets,
   ): Promise<PoolDemand | undefined> {
-    const lists = { drainedTargets, drainedForMs: DRAINED_FOR_MS, ...ended };
+    const lists = { drainedTargets, drainedForMs: DRAIN_DURATION_MS, ...ended };
     const request = { type: 'sync-pool', pool, ...lists } as const;
-    const outcome = await this.tryOnce(request, pool).catch(() => undefined);
+    const outcome = await this.attemptCall(request, pool).catch(() => undefined);
     if (outcome?.type !== 'reply' || outcome.reply.type !== 'pool-demand') return undefined;
     return outcome.reply.demand;
   }
@@ -137,62 +137,62 @@
       clock,
       timer: 'durable_answer_ms',
       call: request.type,
-      run: () => this.askHomes(request, pool),
+      run: () => this.callWithRetries(request, pool),
       describeError: (thrown) => toRattanliftError(thrown).kind,
     });
   }
 
   /** Calls the home of a pool, and retries with the next home while a home is being replaced. */
-  private async askHomes(request: DurableJobRequest, pool: string): Promise<PeerReply> {
+  private async callWithRetries(request: DurableJobRequest, pool: string): Promise<PeerReply> {
     const { clock, directory } = this.options;
-    const giveUpAtMs = clock.monotonicMs() + SEARCH_MS;
+    const giveUpAtMs = clock.monotonicMs() + HOME_SEARCH_MS;
     let isInDoubt = false;
-    let last: Try = await this.tryOnce(request, pool);
+    let last: CallOutcome = await this.attemptCall(request, pool);
     while (last.type === 'again' && clock.monotonicMs() < giveUpAtMs) {
       isInDoubt ||= ERROR_ANSWERS[last.error.kind].outcome !== 'not-run';
       // eslint-disable-next-line no-await-in-loop -- a try follows the one before it
       await Promise.all([directory.refresh(), sleep(RETRY_PAUSE_MS)]);
       // eslint-disable-next-line no-await-in-loop -- a try follows the one before it
-      last = await this.tryOnce(request, pool);
+      last = await this.attemptCall(request, pool);
     }
-    if (last.type === 'reply') return JobGateway.checkReply(last.reply, isInDoubt);
+    if (last.type === 'reply') return JobGateway.unwrapReply(last.reply, isInDoubt);
     // `not-run` must be certain, but an earlier unanswered attempt may have stored the job.
     if (isInDoubt) throwError('outcome-unknown', 'No home has answered.', { cause: last.error });
     throw last.error;
   }
 
-  private async tryOnce(request: DurableJobRequest, pool: string): Promise<Try> {
-    const outcome = await this.tryHome(request, pool);
+  private async attemptCall(request: DurableJobRequest, pool: string): Promise<CallOutcome> {
+    const outcome = await this.callHome(request, pool);
     if (outcome.type === 'reply') this.silentSinceMs = undefined;
     else this.silentSinceMs ??= this.options.clock.monotonicMs();
     return outcome;
   }
 
-  private async tryHome(request: DurableJobRequest, pool: string): Promise<Try> {
-    const { instance, directory, partitions, handleHere, peers } = this.options;
+  private async callHome(request: DurableJobRequest, pool: string): Promise<CallOutcome> {
+    const { instance, directory, partitions, handleLocally: handleHere, peers } = this.options;
     const home: PeerAddress | undefined = directory.get(partitions.getPartition(pool));
-    if (home === undefined) return JobGateway.tryAgain('home-unavailable', 'No home is known.');
+    if (home === undefined) return JobGateway.createRetry('home-unavailable', 'No home is known.');
     try {
       const reply =
         home.instance === instance
           ? await handleHere(request)
           : await peers.call(home, request, CALL_WAIT_MS);
-      const isRetryable = reply.type === 'refused' && RETRYABLE.has(reply.kind);
+      const isRetryable = reply.type === 'refused' && RETRYABLE_KINDS.has(reply.kind);
       return isRetryable
-        ? JobGateway.tryAgain(reply.kind, reply.message)
+        ? JobGateway.createRetry(reply.kind, reply.message)
         : { type: 'reply', reply };
     } catch (thrown) {
       const error = toRattanliftError(thrown);
-      if (!RETRYABLE.has(error.kind)) throw error;
+      if (!RETRYABLE_KINDS.has(error.kind)) throw error;
       return { type: 'again', error };
     }
   }
 
-  private static tryAgain(kind: RattanliftError['kind'], message: string): Try {
+  private static createRetry(kind: RattanliftError['kind'], message: string): CallOutcome {
     return { type: 'again', error: new RattanliftError({ kind, message }) };
   }
 
-  private static checkReply(reply: PeerReply, isInDoubt: boolean): PeerReply {
+  private static unwrapReply(reply: PeerReply, isInDoubt: boolean): PeerReply {
     if (reply.type !== 'refused') return reply;
     const isNotRun = ERROR_ANSWERS[reply.kind].outcome === 'not-run';
     return throwError(isInDoubt && isNotRun ? 'outcome-unknown' : reply.kind, reply.message);
--- a/src/taskHome/JobTable.ts
+++ b/src/taskHome/JobTable.ts
@@ -29,7 +29,7 @@
   readonly task: TaskRow;
 }
 
-interface KeptEnd {
+interface EndedJobEntry {
   readonly job: EndedJob;
   /** When this home learned of the end, by the monotonic clock. */
   readonly knownSinceMs: number;
@@ -42,12 +42,12 @@
   /** Jobs that are not finished, or still have tasks on targets. */
   private readonly active = new Map<string, DurableJobRow>();
 
-  private readonly ended = new Map<string, KeptEnd>();
+  private readonly ended = new Map<string, EndedJobEntry>();
 
   private readonly changed = new Set<string>();
 
   /** Jobs whose specification is not stored yet. */
-  private readonly unstored = new Set<string>();
+  private readonly unstoredSpecs = new Set<string>();
 
   /**
    * Creates an empty table.
@@ -127,11 +127,11 @@
    * Each home measures this time from when it learned of the end. The wall clocks of two homes may
    * differ by 40 minutes: with a stored end time, the next home would remove jobs as it opens and
    * answer "no such job" for an accepted job right after a takeover.
-   * @param minMs - Minimum time, in milliseconds.
+   * @param minKnownMs - Minimum time, in milliseconds.
    * @returns Ids of the jobs.
    */
-  listEndedFor(minMs: number): readonly string[] {
-    const sinceMs = this.clock.monotonicMs() - minMs;
+  listEndedFor(minKnownMs: number): readonly string[] {
+    const sinceMs = this.clock.monotonicMs() - minKnownMs;
     return [...this.ended]
       .filter(([, { knownSinceMs }]) => knownSinceMs <= sinceMs)
       .map(([jobId]) => jobId);
@@ -142,7 +142,7 @@
    * @param row - The job.
    */
   add(row: DurableJobRow): void {
-    this.unstored.add(row.spec.jobId);
+    this.unstoredSpecs.add(row.spec.jobId);
     this.put(row);
   }
 
@@ -163,7 +163,7 @@
     this.active.delete(jobId);
     this.ended.delete(jobId);
     this.changed.delete(jobId);
-    this.unstored.delete(jobId);
+    this.unstoredSpecs.delete(jobId);
   }
 
   /**
@@ -173,7 +173,7 @@
   takeChanges(): readonly KeyedRecord[] {
     const records = [...this.changed].flatMap((jobId) => this.encode(jobId));
     this.changed.clear();
-    this.unstored.clear();
+    this.unstoredSpecs.clear();
     return records;
   }
 
@@ -229,7 +229,7 @@
    * record is forgotten.
    */
   private encode(jobId: string): readonly KeyedRecord[] {
-    const isStored = !this.unstored.has(jobId);
+    const isStored = !this.unstoredSpecs.has(jobId);
     const row = this.active.get(jobId);
     if (row === undefined) {
       const end = encodeEndedJob(this.ended.get(jobId)!.job);
--- a/src/taskHome/PartitionOpening.ts
+++ b/src/taskHome/PartitionOpening.ts
@@ -56,7 +56,7 @@
 }
 
 /** Restores a job. One with unreadable progress starts over; otherwise its caller would lose it. */
-function restoreOrLog(
+function restoreOrRestart(
   spec: DurableJobSpec,
   progress: JobProgress | undefined,
   { partition, events }: PartitionOpeningOptions,
@@ -76,7 +76,7 @@
  * append than the one that stores the end, and a home that opens between the two would otherwise
  * start the ended job again.
  */
-function joinRecords(
+function combineJobRecords(
   records: readonly JobRecord[],
   options: PartitionOpeningOptions,
 ): Pick<OpenedPartition, 'jobs' | 'endedJobs'> {
@@ -90,7 +90,7 @@
   });
   const jobs = [...specs.values()]
     .filter(({ jobId }) => !ended.has(jobId))
-    .map((spec) => restoreOrLog(spec, progresses.get(spec.jobId), options))
+    .map((spec) => restoreOrRestart(spec, progresses.get(spec.jobId), options))
     .toSorted((a, b) => a.spec.submittedAtMs - b.spec.submittedAtMs);
   return { jobs, endedJobs: [...ended.values()] };
 }
@@ -120,7 +120,7 @@
 export class PartitionOpening {
   private readonly options: PartitionOpeningOptions;
 
-  private readonly newest = new Map<string, KeyedRecord>();
+  private readonly newestRecords = new Map<string, KeyedRecord>();
 
   private readonly follower: KeyedFollower;
 
@@ -130,12 +130,15 @@
    */
   constructor(options: PartitionOpeningOptions) {
     this.options = options;
-    this.follower = new KeyedFollower({ ...options, onRecord: (record) => this.take(record) });
+    this.follower = new KeyedFollower({
+      ...options,
+      onRecord: (record) => this.applyRecord(record),
+    });
   }
 
   /** Number of current records that have been read so far. */
   get recordCount(): number {
-    return this.newest.size;
+    return this.newestRecords.size;
   }
 
   /**
@@ -150,7 +153,7 @@
     // home that has opened meanwhile, and the partition would have no home.
     if (!this.options.isWanted()) return undefined;
     const { store, topic, partition, instance } = this.options;
-    const records = [...this.newest.values()];
+    const records = [...this.newestRecords.values()];
     const term = readTerm(records) + 1;
     const sequence = randomInt(FIRST_SEQUENCE_LIMIT);
     const result = await store.append({
@@ -163,11 +166,11 @@
     });
     if (result.type !== 'appended') return undefined;
     const decoded = decodeReadable(records, decodeJobRecord, this.options);
-    return { term, sequence, records, ...joinRecords(decoded, this.options) };
+    return { term, sequence, records, ...combineJobRecords(decoded, this.options) };
   }
 
-  private take(record: KeyedRecord): void {
-    if (record.value === undefined) this.newest.delete(record.key);
-    else this.newest.set(record.key, record);
+  private applyRecord(record: KeyedRecord): void {
+    if (record.value === undefined) this.newestRecords.delete(record.key);
+    else this.newestRecords.set(record.key, record);
   }
 }
--- a/src/taskHome/PlacementRounds.ts
+++ b/src/taskHome/PlacementRounds.ts
@@ -45,7 +45,7 @@
   private isClosed = false;
 
   /** Monotonic time before which no further round begins. */
-  private nextAtMs = 0;
+  private nextRoundAtMs = 0;
 
   /**
    * Creates a scheduler of rounds; none has run yet.
@@ -75,13 +75,13 @@
     // A placement made during an append is stored only after it, so one round after the append
     // covers all requests that arrived meanwhile.
     await writer.whenIdle();
-    await this.pause();
+    await this.waitForNextRound();
     this.waiting = undefined;
     const startedAtMs = clock.monotonicMs();
-    const placed = this.isClosed ? [] : this.place();
+    const placed = this.isClosed ? [] : this.placeReadyTasks();
     const records = table.takeChanges();
     const tookMs = clock.monotonicMs() - startedAtMs;
-    this.nextAtMs = startedAtMs + tookMs + Math.min(MAX_PAUSE_MS, PAUSE_FACTOR * tookMs);
+    this.nextRoundAtMs = startedAtMs + tookMs + Math.min(MAX_PAUSE_MS, PAUSE_FACTOR * tookMs);
     metrics.timing('placement_round_ms', tookMs);
     await writer.write(records);
     if (!this.isClosed) placed.forEach((taskName) => runs.start(taskName));
@@ -93,30 +93,33 @@
    * without this pause falls further behind with each waiting job: the log shows `taskEnded` with
    * `lapsed`, and minutes without `taskPlaced`.
    */
-  private async pause(): Promise<void> {
-    const pauseMs = this.nextAtMs - this.options.clock.monotonicMs();
+  private async waitForNextRound(): Promise<void> {
+    const pauseMs = this.nextRoundAtMs - this.options.clock.monotonicMs();
     if (pauseMs > 0) await sleep(pauseMs);
   }
 
   private listTargets(rows: readonly DurableJobRow[]): readonly PlacementTarget[] {
     const { drains, runs, sessions } = this.options;
-    const holding = runs.listHoldingSuspects(rows.flatMap(listSuspects));
+    const suspectHolders = runs.listHoldingSuspects(rows.flatMap(listSuspects));
     const isAvoided = (targetId: string): boolean =>
       runs.isAvoided(targetId) || drains.has(targetId);
     const targets = sessions.listForPlacement(isAvoided);
-    if (holding.size === 0) return targets;
-    return targets.map((target) => ({ ...target, holdsSuspect: holding.has(target.targetId) }));
+    if (suspectHolders.size === 0) return targets;
+    return targets.map((target) => ({
+      ...target,
+      holdsSuspect: suspectHolders.has(target.targetId),
+    }));
   }
 
-  private place(): readonly string[] {
+  private placeReadyTasks(): readonly string[] {
     const { clock, dueClock, mechanisms, runs, table } = this.options;
     const { runTimes } = runs;
     const dueAtMs = dueClock.wallMs();
     const rows = table.listActive();
-    const waiting = rows.filter((row) => listReadyTasks(row, dueAtMs).length > 0);
-    if (waiting.length === 0) return [];
+    const readyJobs = rows.filter((row) => listReadyTasks(row, dueAtMs).length > 0);
+    if (readyJobs.length === 0) return [];
     const placements = placeTasks({
-      jobs: orderJobs(waiting, { runTimes, mechanisms, nowMs: clock.wallMs() }),
+      jobs: orderJobs(readyJobs, { runTimes, mechanisms, nowMs: clock.wallMs() }),
       mechanisms,
       occupants: rows,
       targets: this.listTargets(rows),
--- a/src/taskHome/PoolPartitions.ts
+++ b/src/taskHome/PoolPartitions.ts
@@ -9,7 +9,7 @@
 }
 
 /** Pseudo-pool name that determines the partition of fleet-wide records. */
-const FLEET = 'fleet';
+const FLEET_KEY = 'fleet';
 
 /**
  * Maps each pool to the partition that keeps its jobs. The mapping is a hash of the pool's name, so
@@ -39,10 +39,10 @@
    * Lists the partitions that keep a pool or the fleet-wide records.
    * @returns Their distinct numbers; none before there is a configuration.
    */
-  listUsed(): readonly number[] {
+  listUsedPartitions(): readonly number[] {
     const pools = this.options.listPools();
     if (pools.length === 0) return [];
-    return [...new Set([...pools, FLEET].map((name) => this.getPartition(name)))];
+    return [...new Set([...pools, FLEET_KEY].map((name) => this.getPartition(name)))];
   }
 
   /**
@@ -50,8 +50,8 @@
    * @param partition - Number of the partition.
    * @returns Whether its home is also the fleet's home.
    */
-  isOfFleet(partition: number): boolean {
-    return partition === this.getPartition(FLEET);
+  isFleetPartition(partition: number): boolean {
+    return partition === this.getPartition(FLEET_KEY);
   }
 
   /**
@@ -62,9 +62,9 @@
    * @returns The targets of the partition.
    */
   filterEntries(partition: number, entries: TargetEntries): TargetEntries {
-    const ofPartition = new Set(
+    const poolsOfPartition = new Set(
       this.options.listPools().filter((pool) => this.getPartition(pool) === partition),
     );
-    return new Map([...entries].filter(([, { pool }]) => ofPartition.has(pool)));
+    return new Map([...entries].filter(([, { pool }]) => poolsOfPartition.has(pool)));
   }
 }
--- a/src/taskHome/RecordWriter.ts
+++ b/src/taskHome/RecordWriter.ts
@@ -29,8 +29,8 @@
 /** Time without an answer after which new jobs are refused: the store is slow or unavailable. */
 const STALLED_AFTER_MS = 500;
 /** Assumed speed of a link whose speed is not given, in megabits per second. */
-const USUAL_LINK_MBPS = 10;
-const DEFAULT_MAX_APPEND_BYTES = getMaxAppendBytes(USUAL_LINK_MBPS);
+const DEFAULT_LINK_MBPS = 10;
+const DEFAULT_MAX_APPEND_BYTES = getMaxAppendBytes(DEFAULT_LINK_MBPS);
 
 /** A record with its position in the order of appends. */
 interface NumberedRecord {
@@ -71,7 +71,7 @@
   private waiters: readonly Waiter[] = [];
 
   /** The latest append, in flight or done. */
-  private lastBatch: Promise<void> = Promise.resolve();
+  private lastAppend: Promise<void> = Promise.resolve();
 
   private isWriting = false;
 
@@ -109,13 +109,13 @@
    */
   write(records: readonly KeyedRecord[]): Promise<void> {
     if (this.isClosed) return Promise.reject(this.createError('home-unavailable'));
-    if (records.length === 0 && this.waiters.length === 0) return this.lastBatch;
-    const numbers = records.map((record) => this.add(record));
+    if (records.length === 0 && this.waiters.length === 0) return this.lastAppend;
+    const numbers = records.map((record) => this.enqueue(record));
     const firstNumber = numbers.length === 0 ? 0 : Math.min(...numbers);
     return new Promise((resolve, reject) => {
       const { lastNumber } = this;
       this.waiters = [...this.waiters, { firstNumber, lastNumber, resolve, reject }];
-      if (!this.isWriting) void this.writeAll();
+      if (!this.isWriting) void this.writePending();
     });
   }
 
@@ -124,7 +124,7 @@
    * @returns Resolves once it has succeeded or failed; within this turn if there is none.
    */
   whenIdle(): Promise<void> {
-    return this.lastBatch.catch(() => undefined);
+    return this.lastAppend.catch(() => undefined);
   }
 
   /**
@@ -146,7 +146,7 @@
   }
 
   /** Queues a record; it replaces a waiting record with the same key at that record's position. */
-  private add(record: KeyedRecord): number {
+  private enqueue(record: KeyedRecord): number {
     const known = this.pending.get(record.key);
     if (known === undefined) this.lastNumber += 1;
     const number = known?.number ?? this.lastNumber;
@@ -154,7 +154,7 @@
     return number;
   }
 
-  private async writeAll(): Promise<void> {
+  private async writePending(): Promise<void> {
     this.isWriting = true;
     // Waits for the end of this turn, so that all records of one decision share an append.
     await Promise.resolve();
@@ -173,9 +173,9 @@
     this.lastSentNumber = lastNumber;
     this.sequence += 1;
     this.busySinceMs = this.options.clock.monotonicMs();
-    this.lastBatch = this.appendUntilAnswered(batch.map(({ record }) => record));
+    this.lastAppend = this.appendUntilAnswered(batch.map(({ record }) => record));
     try {
-      await this.lastBatch;
+      await this.lastAppend;
       waiters.forEach(({ resolve }) => resolve());
     } catch (thrown) {
       waiters.forEach(({ reject }) => reject(thrown as Error));
@@ -194,12 +194,12 @@
   private takeBatch(): readonly NumberedRecord[] {
     const { maxAppendBytes = DEFAULT_MAX_APPEND_BYTES } = this.options;
     let sizeBytes = 0;
-    const waiting = [...this.pending.values()];
-    const endsAt = waiting.findIndex(({ record }) => {
+    const pendingRecords = [...this.pending.values()];
+    const endIndex = pendingRecords.findIndex(({ record }) => {
       sizeBytes += record.value?.length ?? 0;
       return sizeBytes > maxAppendBytes;
     });
-    const batch = endsAt < 0 ? waiting : waiting.slice(0, Math.max(1, endsAt));
+    const batch = endIndex < 0 ? pendingRecords : pendingRecords.slice(0, Math.max(1, endIndex));
     batch.forEach(({ record }) => this.pending.delete(record.key));
     return batch;
   }
@@ -223,14 +223,14 @@
       const result = await this.timeout.run(clock, (timeoutMs) =>
         store.append({ topic, partition, records, fence, timeoutMs }),
       );
-      return this.judge(result);
+      return this.handleResult(result);
     } catch (thrown) {
       events.write('appendUnanswered', { topic, partition, term, reason: String(thrown) });
       return undefined;
     }
   }
 
-  private judge(result: AppendResult): boolean | undefined {
+  private handleResult(result: AppendResult): boolean | undefined {
     const { topic, partition, term, events, onFenced } = this.options;
     switch (result.type) {
       case 'appended':
--- a/src/taskHome/TaskHome.ts
+++ b/src/taskHome/TaskHome.ts
@@ -25,12 +25,12 @@
 import { TaskRuns } from './TaskRuns.js';
 
 /** Parameters of a `sync-pool` request, which the fleet's home sends for each pool. */
-type PoolSync = Omit<Extract<DurableJobRequest, { readonly type: 'sync-pool' }>, 'type'>;
+type SyncPoolParameters = Omit<Extract<DurableJobRequest, { readonly type: 'sync-pool' }>, 'type'>;
 
 /** Longest wait for the ends in a report to be stored before the lease is renewed. */
 const STORE_WAIT_MS = 400;
 /** Leases of an earlier home lapse after their length, 2 % for clock drift, and a margin. */
-const ADOPTED_LEASE_FACTOR = 1.1;
+const INHERITED_LEASE_FACTOR = 1.1;
 
 /** The home of one partition, which alone schedules the jobs and targets of the pools in it. */
 export class TaskHome {
@@ -70,7 +70,7 @@
     this.wallClock = options.clock;
     this.table = new JobTable(clock);
     this.openedAtMs = clock.monotonicMs();
-    this.writer = new RecordWriter({ ...this.options, onFenced: () => this.replace() });
+    this.writer = new RecordWriter({ ...this.options, onFenced: () => this.handleReplaced() });
     this.drains = new TargetDrains(clock);
     this.arrivals = new PoolArrivals(clock);
     this.telemetry = new JobTelemetry(this.options);
@@ -80,13 +80,13 @@
       table: this.table,
       getSessions: () => this.sessions,
       onChanged: () => this.flushInBackground(),
-      onStaleTerm: () => this.replace(),
+      onStaleTerm: () => this.handleReplaced(),
     });
     this.sessions = new TargetSessions({
       ...this.options,
-      onReport: (targetId, report) => this.takeReport(targetId, report),
+      onReport: (targetId, report) => this.handleReport(targetId, report),
       onGone: (targetId, reason) => this.runs.loseTarget(targetId, reason),
-      onStaleTerm: () => this.replace(),
+      onStaleTerm: () => this.handleReplaced(),
     });
     this.rounds = new PlacementRounds({
       ...this.options,
@@ -144,7 +144,7 @@
    */
   getState(jobId: string): DurableJobState | undefined {
     const state = this.table.get(jobId)?.state;
-    if (state === undefined) this.assertCertain();
+    if (state === undefined) this.assertIsHome();
     return state;
   }
 
@@ -157,7 +157,7 @@
    */
   async cancel(jobId: string): Promise<boolean> {
     if (this.table.get(jobId) === undefined) {
-      this.assertCertain();
+      this.assertIsHome();
       return false;
     }
     const row = this.table.getActive(jobId);
@@ -177,7 +177,7 @@
    * @throws RattanliftError Of kind `home-unavailable` if another instance may be the home.
    */
   countPending(queue: string): number {
-    this.assertCertain();
+    this.assertIsHome();
     return this.table.countPending(queue);
   }
 
@@ -188,11 +188,16 @@
    * @returns Load and demand of the pool.
    * @throws RattanliftError Of kind `home-unavailable` if another instance may be the home.
    */
-  async syncPool({ pool, drainedTargets, drainedForMs, ...ended }: PoolSync): Promise<PoolDemand> {
-    this.assertCertain();
+  async syncPool({
+    pool,
+    drainedTargets,
+    drainedForMs,
+    ...ended
+  }: SyncPoolParameters): Promise<PoolDemand> {
+    this.assertIsHome();
     this.runs.loseEnded(ended);
     this.drains.replace(pool, drainedTargets, drainedForMs);
-    this.runs.evacuate(this.listEmptied());
+    this.runs.evacuate(this.listTargetsToEvacuate());
     // Tasks placed on drained targets before this call are counted below; no more are placed there.
     await this.flush().catch(() => undefined);
     const { mechanisms } = this.options;
@@ -214,7 +219,7 @@
   }
 
   /** Opens sessions with newly listed targets. */
-  meetTargets(): void {
+  syncTargets(): void {
     if (!this.isClosed) this.sessions.sync();
   }
 
@@ -223,9 +228,9 @@
     if (this.isClosed) return;
     this.sessions.sync();
     this.loseUnknownTargets();
-    this.runs.evacuate(this.listEmptied());
+    this.runs.evacuate(this.listTargetsToEvacuate());
     this.runs.stopFinished();
-    this.forgetOld();
+    this.removeExpiredJobs();
     this.flushInBackground();
   }
 
@@ -247,14 +252,14 @@
     this.sessions.close();
   }
 
-  private replace(): void {
+  private handleReplaced(): void {
     if (this.isClosed) return;
     this.close();
     this.options.onReplaced();
   }
 
-  private assertCertain(): void {
-    if (this.isClosed || !this.options.isCertain()) {
+  private assertIsHome(): void {
+    if (this.isClosed || !this.options.isGroupLeaseHeld()) {
       throwError('home-unavailable', 'This instance may not be the home any more.');
     }
   }
@@ -272,11 +277,11 @@
     return this.rounds.run();
   }
 
-  private async takeReport(targetId: string, report: TargetReport): Promise<void> {
+  private async handleReport(targetId: string, report: TargetReport): Promise<void> {
     if (this.isClosed) return;
     const { answer } = report;
-    const fresh = this.sessions.takeFreshEnds(targetId, answer.ended);
-    this.runs.takeReport(targetId, fresh, report);
+    const newEnds = this.sessions.takeFreshEnds(targetId, answer.ended);
+    this.runs.takeReport(targetId, newEnds, report);
     if (answer.ended.length === 0) {
       this.flushInBackground();
       return;
@@ -291,21 +296,21 @@
   }
 
   /** Lists targets to evacuate: the fleet's home takes their VMs, or they announced their leave. */
-  private listEmptied(): ReadonlySet<string> {
+  private listTargetsToEvacuate(): ReadonlySet<string> {
     return new Set([...this.drains.list(), ...this.sessions.listDraining()]);
   }
 
   /** Marks runs of an earlier home as lost whose targets were gone before this home opened. */
   private loseUnknownTargets(): void {
     const { clock, timing } = this.options;
-    const leaseMs = timing.targetLeaseMs * ADOPTED_LEASE_FACTOR;
+    const leaseMs = timing.targetLeaseMs * INHERITED_LEASE_FACTOR;
     if (clock.monotonicMs() < this.openedAtMs + leaseMs) return;
     [...this.table.listUsedTargets()]
       .filter((targetId) => !this.sessions.has(targetId))
       .forEach((targetId) => this.runs.loseTarget(targetId, 'lapsed'));
   }
 
-  private forgetOld(): void {
+  private removeExpiredJobs(): void {
     const jobIds = this.table.listEndedFor(this.options.timing.keepFinishedMs);
     if (jobIds.length === 0 || this.writer.isStalled) return;
     jobIds.forEach((jobId) => this.table.remove(jobId));
--- a/src/taskHome/TaskHomeOptions.ts
+++ b/src/taskHome/TaskHomeOptions.ts
@@ -29,7 +29,7 @@
   readonly mechanisms: Mechanisms;
   readonly getEntries: () => TargetEntries;
   /** Whether this instance is certain to be the home at this moment. */
-  readonly isCertain: () => boolean;
+  readonly isGroupLeaseHeld: () => boolean;
   /** Called once when another home has taken over. */
   readonly onReplaced: () => void;
 }
--- a/src/taskHome/TaskHomes.ts
+++ b/src/taskHome/TaskHomes.ts
@@ -32,11 +32,11 @@
   readonly metrics: Metrics;
   readonly mechanisms: Mechanisms;
   /** Creates the fleet's home on the instance that is the home of the fleet's partition. */
-  readonly createFleetHome: (basis: FleetHomeBasis) => FleetHome;
+  readonly createFleetHome: (context: FleetHomeContext) => FleetHome;
 }
 
 /** State and callbacks that the fleet's home gets from the home of its partition. */
-export interface FleetHomeBasis {
+export interface FleetHomeContext {
   readonly term: number;
   readonly waveRecords: readonly WaveRecord[];
   readonly orderRecords: readonly VmOrderRecord[];
@@ -52,7 +52,7 @@
  * joins at the start of a load peak gets its first task about 0.2 s sooner than with 400 ms and
  * the next tick.
  */
-const DIRECTORY_EVERY_MS = 200;
+const DIRECTORY_REFRESH_MS = 200;
 /** Pause before a partition is opened again, in milliseconds: a few round trips to the store. */
 const REOPEN_PAUSE_MS = 50;
 
@@ -62,7 +62,7 @@
 
   private readonly homes = new Map<number, TaskHome>();
 
-  private readonly opening = new KeyedOnce();
+  private readonly openings = new KeyedOnce();
 
   private readonly membership: GroupMembership;
 
@@ -80,8 +80,8 @@
     this.options = options;
     this.membership = new GroupMembership({
       ...options,
-      onRenewed: () => this.follow(),
-      onLeaving: (reason) => this.closeAll(reason),
+      onRenewed: () => this.updateHomes(),
+      onLeaving: (reason) => this.closeAllHomes(reason),
     });
   }
 
@@ -92,7 +92,7 @@
       setInterval(() => this.homes.forEach((home) => home.tick()), TICK_MS),
       setInterval(() => {
         if (this.homes.size > 0) void this.refreshTargets();
-      }, DIRECTORY_EVERY_MS),
+      }, DIRECTORY_REFRESH_MS),
     );
   }
 
@@ -105,7 +105,7 @@
 
   /** Whether the lease on the group membership holds, with or without homes on this instance. */
   get isMember(): boolean {
-    return this.membership.isCertain();
+    return this.membership.isLeaseHeld();
   }
 
   /**
@@ -120,41 +120,41 @@
   /** Opens sessions with new targets as soon as they are listed instead of at the next tick. */
   private async refreshTargets(): Promise<void> {
     await this.options.directory.refresh();
-    this.homes.forEach((home) => home.meetTargets());
+    this.homes.forEach((home) => home.syncTargets());
   }
 
-  private closeAll(reason: string): void {
-    [...this.homes.keys()].forEach((partition) => this.close(partition, reason));
+  private closeAllHomes(reason: string): void {
+    [...this.homes.keys()].forEach((partition) => this.closeHome(partition, reason));
   }
 
   /**
    * Closes the homes of reassigned partitions, before the next renewal confirms the change to the
    * group, and opens homes for new ones.
    */
-  private follow(): void {
+  private updateHomes(): void {
     [...this.homes.keys()]
       .filter((partition) => !this.membership.holds(partition))
-      .forEach((partition) => this.close(partition, 'reassigned'));
+      .forEach((partition) => this.closeHome(partition, 'reassigned'));
     this.options.partitions
-      .listUsed()
+      .listUsedPartitions()
       .filter((partition) => this.membership.holds(partition) && !this.homes.has(partition))
-      .forEach((partition) => this.opening.start(`${partition}`, () => this.open(partition)));
+      .forEach((partition) => this.openings.start(`${partition}`, () => this.openHome(partition)));
   }
 
   private isWanted(partition: number): boolean {
     return !this.isStopped && this.membership.holds(partition);
   }
 
-  private async open(partition: number): Promise<void> {
+  private async openHome(partition: number): Promise<void> {
     const { store, topic, member, events, directory } = this.options;
     const isWanted = (): boolean => this.isWanted(partition);
-    const place = { topic, partition, instance: member, isWanted };
-    const opening = new PartitionOpening({ ...place, store, events });
+    const location = { topic, partition, instance: member, isWanted };
+    const opening = new PartitionOpening({ ...location, store, events });
     while (this.isWanted(partition) && !this.homes.has(partition)) {
       try {
         // eslint-disable-next-line no-await-in-loop -- an attempt follows the one before it
         const [opened] = await Promise.all([opening.attempt(), directory.refresh()]);
-        if (opened !== undefined && this.isWanted(partition)) this.add(partition, opened);
+        if (opened !== undefined && this.isWanted(partition)) this.addHome(partition, opened);
       } catch (thrown) {
         const { recordCount } = opening;
         events.write('taskHomeOpenFailed', { partition, recordCount, reason: String(thrown) });
@@ -164,7 +164,7 @@
     }
   }
 
-  private add(
+  private addHome(
     partition: number,
     { term, sequence: lastSequence, jobs, endedJobs, records }: OpenedPartition,
   ): void {
@@ -179,17 +179,17 @@
       endedJobs,
       timing: homeTiming,
       getEntries: () => partitions.filterEntries(partition, directory.list()),
-      isCertain: () => this.membership.isCertain(),
-      onReplaced: () => this.close(partition, 'replaced'),
+      isGroupLeaseHeld: () => this.membership.isLeaseHeld(),
+      onReplaced: () => this.closeHome(partition, 'replaced'),
     });
     this.homes.set(partition, home);
-    if (partitions.isOfFleet(partition)) this.openFleet(partition, home, records);
+    if (partitions.isFleetPartition(partition)) this.openFleetHome(partition, home, records);
     const jobCount = jobs.length + endedJobs.length;
     events.write('taskHomeOpened', { partition, term, jobCount });
     home.tick();
   }
 
-  private openFleet(partition: number, home: TaskHome, records: readonly KeyedRecord[]): void {
+  private openFleetHome(partition: number, home: TaskHome, records: readonly KeyedRecord[]): void {
     const { createFleetHome, events } = this.options;
     const source = { partition, events };
     this.fleet = createFleetHome({
@@ -198,15 +198,15 @@
       orderRecords: decodeReadable(records, decodeVmOrderRecord, source),
       peakRecords: decodeReadable(records, decodePoolPeakRecord, source),
       store: (changes) => home.store(changes),
-      onReplaced: () => this.close(partition, 'replaced'),
+      onReplaced: () => this.closeHome(partition, 'replaced'),
     });
     this.fleet.start();
   }
 
-  private close(partition: number, reason: string): void {
+  private closeHome(partition: number, reason: string): void {
     const home = this.homes.get(partition);
     if (home === undefined) return;
-    if (this.options.partitions.isOfFleet(partition)) this.fleet?.close();
+    if (this.options.partitions.isFleetPartition(partition)) this.fleet?.close();
     this.homes.delete(partition);
     home.close();
     this.options.events.write('taskHomeClosed', { partition, term: home.term, reason });
--- a/src/taskHome/announceMember.ts
+++ b/src/taskHome/announceMember.ts
@@ -26,9 +26,9 @@
   const holders = directory.listMembers();
   if (holders.some(({ address }) => address.instance === member.address.instance)) return;
   const request = { type: 'announce-member', member: formatMember(member) } as const;
-  const smaller = holders.filter(({ capacity }) => isLarger(member.capacity, capacity));
+  const smallerHolders = holders.filter(({ capacity }) => isLarger(member.capacity, capacity));
   // An instance that does not reply gets the next announcement; its connection logs failures.
   await Promise.allSettled(
-    smaller.map(({ address }) => peers.call(address, request, REPLY_WAIT_MS)),
+    smallerHolders.map(({ address }) => peers.call(address, request, REPLY_WAIT_MS)),
   );
 }
--- a/src/taskHome/decodeReadable.ts
+++ b/src/taskHome/decodeReadable.ts
@@ -2,7 +2,7 @@
 import type { KeyedRecord } from '../store/index.js';
 
 /** The partition that was read, and the log for unreadable records. */
-export interface ReadableOptions {
+export interface DecodeReadableOptions {
   readonly partition: number;
   readonly events: EventLog;
 }
@@ -18,7 +18,7 @@
 export function decodeReadable<Value>(
   records: readonly KeyedRecord[],
   decode: (record: KeyedRecord) => Value | undefined,
-  { partition, events }: ReadableOptions,
+  { partition, events }: DecodeReadableOptions,
 ): readonly Value[] {
   return records.flatMap((record) => {
     try {
--- a/src/taskHome/describeDemand.ts
+++ b/src/taskHome/describeDemand.ts
@@ -50,25 +50,25 @@
 export function describeDemand(input: DescribeDemandInput): PoolDemand {
   const { pool, rows, targets, countRuns, runTimes, arrivingCpuMillicores, nowMs } = input;
   const { mechanisms } = input;
-  const ofPool = rows.filter((row) => row.spec.terms.pool === pool);
-  const waitingCpuMillicores = sumWaitingCpu(ofPool, nowMs);
-  const placed = ofPool.flatMap((row) =>
+  const poolRows = rows.filter((row) => row.spec.terms.pool === pool);
+  const waitingCpuMillicores = sumWaitingCpu(poolRows, nowMs);
+  const placedTasks = poolRows.flatMap((row) =>
     row.tasks
       .filter(({ phase }) => phase === 'placed')
       .map(({ targetId, step }) => ({ targetId: targetId!, step: row.spec.steps[step]! })),
   );
-  const placedByTarget = groupBy(placed, ({ targetId }) => targetId);
+  const placedByTarget = groupBy(placedTasks, ({ targetId }) => targetId);
   return {
     pool,
     targets: targets
       .filter((target) => target.pool === pool)
       .map(({ targetId, capacity }) => {
-        const here = placedByTarget.get(targetId) ?? [];
+        const tasksOnTarget = placedByTarget.get(targetId) ?? [];
         return {
           targetId,
-          runCount: Math.max(here.length, countRuns(targetId)),
-          longRunningCount: here.filter(({ step }) => step.isLongRunning).length,
-          usedCpuMillicores: here.reduce(
+          runCount: Math.max(tasksOnTarget.length, countRuns(targetId)),
+          longRunningCount: tasksOnTarget.filter(({ step }) => step.isLongRunning).length,
+          usedCpuMillicores: tasksOnTarget.reduce(
             (sum, { step }) => sum + getOccupied(step).cpuMillicores,
             0,
           ),
@@ -77,7 +77,7 @@
       }),
     waitingCpuMillicores,
     ...estimateNeededCpu({
-      rows: ofPool,
+      rows: poolRows,
       runTimes,
       capacityCpuMillicores: sumCapacity(targets, pool),
       arrivingCpuMillicores,
@@ -85,11 +85,11 @@
       mechanisms,
     }),
     wholeVmCount: countWholeVms({
-      rows: ofPool,
+      rows: poolRows,
       targets: targets.filter((target) => target.pool === pool),
       runTimes,
       nowMs,
     }),
-    jobCount: ofPool.filter((row) => !isFinished(row)).length,
+    jobCount: poolRows.filter((row) => !isFinished(row)).length,
   };
 }
--- a/src/taskHome/handleJobRequest.ts
+++ b/src/taskHome/handleJobRequest.ts
@@ -3,13 +3,13 @@
 import { assertNever } from '../utils/index.js';
 import type { TaskHome } from './TaskHome.js';
 
-const NO_HOME: PeerReply = {
+const NOT_HOME_REPLY: PeerReply = {
   type: 'refused',
   kind: 'home-unavailable',
   message: 'This instance does not decide for the pool.',
 };
 
-async function handle(home: TaskHome, request: DurableJobRequest): Promise<PeerReply> {
+async function dispatch(home: TaskHome, request: DurableJobRequest): Promise<PeerReply> {
   switch (request.type) {
     case 'submit-durable-job':
       await home.submit(request.job);
@@ -41,9 +41,9 @@
   home: TaskHome | undefined,
   request: DurableJobRequest,
 ): Promise<PeerReply> {
-  if (home === undefined) return NO_HOME;
+  if (home === undefined) return NOT_HOME_REPLY;
   try {
-    return await handle(home, request);
+    return await dispatch(home, request);
   } catch (thrown) {
     const { kind, message } = toRattanliftError(thrown);
     return { type: 'refused', kind, message };
--- a/tests/taskHome/GroupMembership.test.ts
+++ b/tests/taskHome/GroupMembership.test.ts
@@ -19,7 +19,7 @@
   /** Calls to the group and reasons of `onLeaving`, in order. */
   readonly calls: string[] = [];
 
-  private readonly held: (() => void)[] = [];
+  private readonly pendingAnswers: (() => void)[] = [];
 
   /** Whether answers are held back until they are released. */
   holdsAnswers = false;
@@ -28,7 +28,7 @@
     this.calls.push('join');
     if (this.holdsAnswers) {
       await new Promise<void>((resolve) => {
-        this.held.push(resolve);
+        this.pendingAnswers.push(resolve);
       });
     }
     return this.share;
@@ -44,8 +44,8 @@
     return Promise.resolve([]);
   }
 
-  letGo(): void {
-    this.held.forEach((resolve) => resolve());
+  releaseAnswers(): void {
+    this.pendingAnswers.forEach((resolve) => resolve());
   }
 }
 
@@ -88,11 +88,11 @@
   });
 
   it('holds the partitions that the group gives it, and is certain of them by its lease', async () => {
-    expect(membership.isCertain()).toBe(false);
+    expect(membership.isLeaseHeld()).toBe(false);
     membership.start();
     await vi.waitFor(() => expect(renewedCount).toBeGreaterThan(0));
     expect([0, 1, 2].filter((partition) => membership.holds(partition))).toEqual([0, 2]);
-    expect(membership.isCertain()).toBe(true);
+    expect(membership.isLeaseHeld()).toBe(true);
   });
 
   it('leaves once where others are to hold the partitions, and joins none meanwhile', async () => {
@@ -121,7 +121,7 @@
     membership.start();
     await vi.waitFor(() => expect(groups.calls).toEqual(['join']));
     await membership.stop();
-    groups.letGo();
+    groups.releaseAnswers();
     await new Promise((resolve) => {
       setTimeout(resolve, GROUP_TIMING.renewEveryMs);
     });
@@ -149,7 +149,7 @@
     const certain: boolean[] = [];
     member.start();
     await sleep(50);
-    const watch = setInterval(() => certain.push(member.isCertain()), 20);
+    const watch = setInterval(() => certain.push(member.isLeaseHeld()), 20);
     await sleep(2 * REAL_TIMING.ttlMs);
     clearInterval(watch);
     await member.stop();
--- a/tests/taskHome/HomeDirectory.test.ts
+++ b/tests/taskHome/HomeDirectory.test.ts
@@ -39,8 +39,8 @@
       clock,
       events: new MemoryEventLog(),
     });
-    directory.noteMember('other@10.0.0.1:7/1.35,140');
-    directory.noteMember('no name of a member');
+    directory.addAnnouncedMember('other@10.0.0.1:7/1.35,140');
+    directory.addAnnouncedMember('no name of a member');
     expect(directory.listCapacities('asker')).toEqual([{ coreCount: 1.35, linkMbps: 140 }]);
     expect(directory.listCapacities('other')).toEqual([]);
     clock.advance(3_000);
@@ -63,7 +63,7 @@
     ]);
     expect(directory.get(0)).toEqual(busy.address);
     expect(directory.get(3)).toBeUndefined();
-    expect(directory.listOthers([0])).toEqual([idle.address]);
+    expect(directory.listIdleMembers([0])).toEqual([idle.address]);
     expect(directory.listCapacities('busy')).toEqual([idle.capacity]);
   });
 
@@ -96,6 +96,6 @@
     clock.advance(1_000);
     await directory.refresh();
     expect(directory.get(0)).toEqual(later.address);
-    expect(await directory.tell()).toMatchObject({ type: 'homes', ageMs: 500 });
+    expect(await directory.getOwnersReply()).toMatchObject({ type: 'homes', ageMs: 500 });
   });
 });
--- a/tests/taskHome/HomeWorld.ts
+++ b/tests/taskHome/HomeWorld.ts
@@ -41,7 +41,7 @@
 };
 
 /** A `sync-pool` request for the pool `pages` without drained or lost targets. */
-export const QUIET_SYNC = {
+export const EMPTY_SYNC_REQUEST = {
   pool: 'pages',
   drainedTargets: [],
   drainedForMs: 5_000,
@@ -96,7 +96,7 @@
   keepFinishedMs = 60_000;
 
   /** Whether the homes are certain that they still are the home of their partition. */
-  isCertain = true;
+  isGroupLeaseHeld = true;
 
   private readonly homes: TaskHome[] = [];
 
@@ -139,7 +139,7 @@
       mechanisms: ALL_MECHANISMS,
       metrics: this.metrics,
       getEntries: () => this.entries,
-      isCertain: () => this.isCertain,
+      isGroupLeaseHeld: () => this.isGroupLeaseHeld,
       onReplaced: () => undefined,
     });
     this.homes.push(home);
@@ -150,8 +150,8 @@
 
   /** Ends a home like a kill of its process: it takes no further action. */
   kill(home: TaskHome): void {
-    const place = this.homes.indexOf(home);
-    clearInterval(this.timers[place]);
+    const index = this.homes.indexOf(home);
+    clearInterval(this.timers[index]);
     home.close();
   }
 
--- a/tests/taskHome/PlacementRounds.test.ts
+++ b/tests/taskHome/PlacementRounds.test.ts
@@ -11,10 +11,10 @@
 const ROUND_MS = 20;
 const WATCHED_MS = 600;
 /** Largest share of the time that rounds may take; the rest is for leases and callers. */
-const MOST_SHARE = 0.25;
+const MAX_SHARE = 0.25;
 
 /** Blocks the event loop, as a round on a slow processor does. */
-function work(forMs: number): void {
+function blockEventLoop(forMs: number): void {
   const endsAtMs = performance.now() + forMs;
   while (performance.now() < endsAtMs);
 }
@@ -26,7 +26,7 @@
     let roundCount = 0;
     const listActive = (): readonly never[] => {
       roundCount += 1;
-      work(ROUND_MS);
+      blockEventLoop(ROUND_MS);
       return [];
     };
     const clock = new SystemClock();
@@ -46,7 +46,7 @@
       await sleep(1);
     }
     const workedMs = (roundCount - 1) * ROUND_MS;
-    expect(workedMs).toBeLessThanOrEqual(MOST_SHARE * WATCHED_MS);
+    expect(workedMs).toBeLessThanOrEqual(MAX_SHARE * WATCHED_MS);
     expect(roundCount).toBeGreaterThan(2);
   });
 });
--- a/tests/taskHome/TaskHome.test.ts
+++ b/tests/taskHome/TaskHome.test.ts
@@ -4,7 +4,7 @@
   makeEntry,
   makeJob,
   makeStep,
-  QUIET_SYNC,
+  EMPTY_SYNC_REQUEST,
   useHomeWorld,
 } from './HomeWorld.js';
 
@@ -239,7 +239,7 @@
   it('does not deny a job while it may have been replaced', async () => {
     const home = await world.open();
     expect(home.getState('b')).toBeUndefined();
-    world.isCertain = false;
+    world.isGroupLeaseHeld = false;
     expect(() => home.getState('b')).toThrow('may not be the home');
     expect(() => home.countPending('saves')).toThrow('may not be the home');
     await expect(home.cancel('b')).rejects.toThrow('may not be the home');
@@ -316,7 +316,7 @@
     world.addTarget(makeEntry('t3'));
     await vi.waitFor(async () => {
       const { targets } = await home.syncPool({
-        ...QUIET_SYNC,
+        ...EMPTY_SYNC_REQUEST,
         drainedTargets: ['t1', 't2'],
         drainedForMs: 1_000,
       });
@@ -340,7 +340,7 @@
     // The second task of the step is the first one to go.
     const { targetId } = world.targets.begun.find(({ taskName }) => taskName === 'a.0.0.1')!;
     await vi.waitFor(async () => {
-      await home.syncPool({ ...QUIET_SYNC, drainedTargets: [targetId] });
+      await home.syncPool({ ...EMPTY_SYNC_REQUEST, drainedTargets: [targetId] });
       expect(world.targets.stops).toEqual(['a.0.0.1']);
     });
     await Array.from({ length: 10 }).reduce<Promise<void>>(async (before) => {
@@ -348,7 +348,7 @@
       await new Promise((resolve) => {
         setTimeout(resolve, 20);
       });
-      await home.syncPool({ ...QUIET_SYNC, drainedTargets: ['t1', 't2'] });
+      await home.syncPool({ ...EMPTY_SYNC_REQUEST, drainedTargets: ['t1', 't2'] });
     }, Promise.resolve());
     expect(world.targets.stops).not.toContain('a.0.0.0');
   });
--- a/tests/taskHome/TaskOrders.test.ts
+++ b/tests/taskHome/TaskOrders.test.ts
@@ -1,6 +1,12 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { describe, expect, it, vi } from 'vitest';
-import { type HomeWorld, makeJob, makeStep, QUIET_SYNC, useHomeWorld } from './HomeWorld.js';
+import {
+  type HomeWorld,
+  makeJob,
+  makeStep,
+  EMPTY_SYNC_REQUEST,
+  useHomeWorld,
+} from './HomeWorld.js';
 
 /** Time in which several reports arrive and the fleet is read several times, in milliseconds. */
 const SEVERAL_REPORTS_MS = 200;
@@ -24,7 +30,7 @@
     await world.waitForRunning(['a.0.0.0', 'a.0.0.1']);
     secondTargetId = world.targets.begun.find(({ taskName }) => taskName === 'a.0.0.1')!.targetId;
     world.targets.setFaults(secondTargetId, { losesStops: true });
-    syncPool = (drainedTargets) => home.syncPool({ ...QUIET_SYNC, drainedTargets });
+    syncPool = (drainedTargets) => home.syncPool({ ...EMPTY_SYNC_REQUEST, drainedTargets });
     await vi.waitFor(async () => {
       await syncPool([secondTargetId]);
       expect(world.targets.stops).toContain('a.0.0.1');
--- a/tests/taskHome/crashes.test.ts
+++ b/tests/taskHome/crashes.test.ts
@@ -5,7 +5,7 @@
   makeEntry,
   makeJob,
   makeStep,
-  QUIET_SYNC,
+  EMPTY_SYNC_REQUEST,
   useHomeWorld,
 } from './HomeWorld.js';
 
@@ -30,7 +30,7 @@
       world.addTarget(makeEntry(`${targetId}+`));
     });
     await home.syncPool({
-      ...QUIET_SYNC,
+      ...EMPTY_SYNC_REQUEST,
       endedTargets: ended,
       crashedTargets: areBlamed ? ended : [],
     });
@@ -88,7 +88,7 @@
     await waitForCrash();
     const ended = [...crashed];
     world.store.faults.rejects = true;
-    void home.syncPool({ ...QUIET_SYNC, endedTargets: ended, crashedTargets: ended });
+    void home.syncPool({ ...EMPTY_SYNC_REQUEST, endedTargets: ended, crashedTargets: ended });
     await vi.waitFor(() => expect(world.countEvents('appendRejected')).toBeGreaterThan(0));
     world.kill(home);
     world.store.faults.rejects = false;
@@ -119,7 +119,7 @@
     await waitForCrash();
     await tellCrashes(home, false);
     const first = world.targets.begun[0]!.targetId;
-    await home.syncPool({ ...QUIET_SYNC, endedTargets: [first], crashedTargets: [first] });
+    await home.syncPool({ ...EMPTY_SYNC_REQUEST, endedTargets: [first], crashedTargets: [first] });
     await waitForCrash();
     await tellCrashes(home);
     await vi.waitFor(() => expect(home.getState('bad')).toBe('failed'));
