--- a/src/taskHome/RunLosses.ts
+++ b/src/taskHome/CrashAttribution.ts
@@ -4,11 +4,11 @@
 import type { JobTable } from './JobTable.js';
 import type { JobTelemetry } from './JobTelemetry.js';
 import type { OrderedRun } from './RunOrder.js';
-import type { TargetLoss, TargetSessions } from './TargetSessions.js';
+import type { TargetLossReason, TargetSessions } from './TargetSessions.js';
 import type { TaskOrders } from './TaskOrders.js';
 
-/** Options of {@link RunLosses}. */
-export interface RunLossesOptions {
+/** Options of {@link CrashAttribution}. */
+export interface CrashAttributionOptions {
   readonly table: JobTable;
   readonly orders: Pick<TaskOrders, 'find' | 'listOn'>;
   /** Gets the sessions with the targets, which are created after the runs. */
@@ -21,7 +21,7 @@
 }
 
 /** What the crash of a target implies for the task of a lost run. */
-export interface RunBlame {
+export interface AttributedCrash {
   readonly run: OrderedRun;
   readonly crash: TaskCrash;
 }
@@ -32,32 +32,32 @@
   readonly survivedMs: number;
 }
 
-interface Loss {
+interface RecordedLoss {
   readonly runs: readonly LostRun[];
   /** Whether the target had started shortly before. */
   readonly hasJustStarted: boolean;
   /** Monotonic time at which the record expires. */
-  readonly forgottenAtMs: number;
+  readonly expiresAtMs: number;
 }
 
 /**
  * Time for which a loss of unknown cause is kept, in milliseconds; the list of VMs shows a crash
  * for 10 s.
  */
-const REMEMBERED_MS = 15_000;
+const LOSS_RETENTION_MS = 15_000;
 
 /** Records lost targets, and attributes their crashes to the tasks that ran on them. */
-export class RunLosses {
-  private readonly options: RunLossesOptions;
+export class CrashAttribution {
+  private readonly options: CrashAttributionOptions;
 
   /** Losses that may turn out to be crashes, by target. */
-  private readonly losses = new Map<string, Loss>();
+  private readonly losses = new Map<string, RecordedLoss>();
 
   /**
    * Starts without losses.
    * @param options - Jobs, runs, and the sessions with the targets.
    */
-  constructor(options: RunLossesOptions) {
+  constructor(options: CrashAttributionOptions) {
     this.options = options;
   }
 
@@ -81,22 +81,22 @@
    * @param reason - How the loss became known.
    * @returns All runs that were on it.
    */
-  note(targetId: string, reason: TargetLoss): readonly OrderedRun[] {
+  noteLoss(targetId: string, reason: TargetLossReason): readonly OrderedRun[] {
     const runs = this.options.orders.listOn(targetId);
-    const lost = runs.map((run): LostRun => {
+    const lostRuns = runs.map((run): LostRun => {
       const survivedMs = this.getSurvivedMs(run.begunAtMs, targetId);
       return { run, survivedMs };
     });
-    lost.forEach((loss) => this.report(loss, reason, runs.length));
+    lostRuns.forEach((loss) => this.report(loss, reason, runs.length));
     const nowMs = this.options.clock.monotonicMs();
     [...this.losses]
-      .filter(([, { forgottenAtMs }]) => forgottenAtMs <= nowMs)
-      .forEach(([known]) => this.losses.delete(known));
+      .filter(([, { expiresAtMs: expiresAtMs }]) => expiresAtMs <= nowMs)
+      .forEach(([lostTargetId]) => this.losses.delete(lostTargetId));
     const sessions = this.options.getSessions();
     if (runs.length > 0 && !sessions.isDraining(targetId)) {
       const hasJustStarted = sessions.hasJustStarted(targetId);
-      const forgottenAtMs = nowMs + REMEMBERED_MS;
-      this.losses.set(targetId, { runs: lost, hasJustStarted, forgottenAtMs });
+      const expiresAtMs = nowMs + LOSS_RETENTION_MS;
+      this.losses.set(targetId, { runs: lostRuns, hasJustStarted, expiresAtMs: expiresAtMs });
     }
     return runs;
   }
@@ -107,13 +107,13 @@
    * @param isWithRack - Whether other targets of its rack crashed together with it.
    * @returns The verdict for each task; empty if the crash was reported before.
    */
-  blame(targetId: string, isWithRack: boolean): readonly RunBlame[] {
+  attributeCrash(targetId: string, isWithRack: boolean): readonly AttributedCrash[] {
     const { runs = [], hasJustStarted = false } = this.losses.get(targetId) ?? {};
     this.losses.delete(targetId);
-    const crashed = runs.map((lost) => this.describe(lost));
-    const blames = blameCrash(crashed, isWithRack || hasJustStarted ? 'weak' : 'strong');
-    return runs.map(({ run }, place): RunBlame => {
-      const { crashCount, isToBlame } = blames[place]!;
+    const crashed = runs.map((lost) => this.describeCrashedRun(lost));
+    const verdicts = blameCrash(crashed, isWithRack || hasJustStarted ? 'weak' : 'strong');
+    return runs.map(({ run }, index): AttributedCrash => {
+      const { crashCount, isToBlame } = verdicts[index]!;
       return { run, crash: { crashCount, isTaskGivenUp: isToBlame } };
     });
   }
@@ -121,7 +121,7 @@
   /**
    * Describes a lost run; its task still counts among the others if its job has ended meanwhile.
    */
-  private describe({ run, survivedMs }: LostRun): CrashedRun {
+  private describeCrashedRun({ run, survivedMs }: LostRun): CrashedRun {
     const { table } = this.options;
     const { taskName, isSent } = run;
     const jobId = parseTaskName(taskName)?.jobId ?? taskName;
@@ -136,7 +136,7 @@
     return Math.max(0, answeredAtMs - begunAtMs);
   }
 
-  private report({ run, survivedMs }: LostRun, reason: TargetLoss, runCount: number): void {
+  private report({ run, survivedMs }: LostRun, reason: TargetLossReason, runCount: number): void {
     const { table, telemetry } = this.options;
     const row = table.findPlaced(run)?.row;
     const { isSent } = run;
--- a/src/taskHome/PlacementRounds.ts
+++ b/src/taskHome/PlacementRounds.ts
@@ -100,7 +100,7 @@
 
   private listTargets(rows: readonly DurableJobRow[]): readonly PlacementTarget[] {
     const { drains, runs, sessions } = this.options;
-    const suspectHolders = runs.listHoldingSuspects(rows.flatMap(listSuspects));
+    const suspectHolders = runs.listTargetsHeldBySuspects(rows.flatMap(listSuspects));
     const isAvoided = (targetId: string): boolean =>
       runs.isAvoided(targetId) || drains.has(targetId);
     const targets = sessions.listForPlacement(isAvoided);
--- a/src/taskHome/RelayedTargets.ts
+++ b/src/taskHome/RelayedTargets.ts
@@ -32,24 +32,24 @@
  * CPU that the calls to one target take under peak load, in cores: 25 starts and 20 status calls a
  * second at 0.3 ms each.
  */
-const CORES_PER_TARGET = 0.015;
+const CORES_PER_DIRECT_TARGET = 0.015;
 /** Share of its CPU that an instance spends on direct calls to targets. */
-const OWN_CALLS_SHARE = 0.4;
+const DIRECT_CALLS_CPU_SHARE = 0.4;
 /**
  * Maximum number of targets that an instance calls directly, however much CPU it has: their calls
  * take a quarter of a core.
  */
-const MAX_OWN_TARGET_COUNT = 16;
+const MAX_DIRECT_TARGET_COUNT = 16;
 /** Time without a call after which a target stops counting as a direct one, in ms: two leases. */
-const FORGET_AFTER_MS = 10_000;
+const DIRECT_TARGET_IDLE_MS = 10_000;
 /**
  * Timeout for a relay's reply on top of the target's own wait, in ms: above the 1 s of an order.
  */
-const RELAY_WAIT_MS = 1_300;
+const RELAY_TIMEOUT_MS = 1_300;
 /** Interval for listing the relays, in ms; the group that names them is read every second. */
-const RELAYS_EVERY_MS = 500;
+const RELAY_LIST_INTERVAL_MS = 500;
 /** Time after a failure in which a relay, or relaying to a target, is avoided, in milliseconds. */
-const AVOID_MS = 5_000;
+const RELAY_AVOIDANCE_MS = 5_000;
 
 /**
  * Computes how many targets an instance calls directly.
@@ -59,9 +59,11 @@
  * @param coreCount - CPU of the instance, in cores.
  * @returns The number of targets; at least one.
  */
-export function countOwnTargets(coreCount: number): number {
-  const affordableCount = Math.floor((OWN_CALLS_SHARE * coreCount) / CORES_PER_TARGET);
-  return Math.min(MAX_OWN_TARGET_COUNT, Math.max(1, affordableCount));
+export function countDirectTargets(coreCount: number): number {
+  const affordableCount = Math.floor(
+    (DIRECT_CALLS_CPU_SHARE * coreCount) / CORES_PER_DIRECT_TARGET,
+  );
+  return Math.min(MAX_DIRECT_TARGET_COUNT, Math.max(1, affordableCount));
 }
 
 /**
@@ -76,10 +78,10 @@
 export class RelayedTargets implements LeasedTargetPort {
   private readonly options: RelayedTargetsOptions;
 
-  private readonly ownTargetCount: number;
+  private readonly maxDirectTargetCount: number;
 
   /** Targets that this instance calls directly, with the monotonic time of the last call. */
-  private readonly own = new Map<string, number>();
+  private readonly directTargets = new Map<string, number>();
 
   /**
    * Relays that did not reply and targets that did not answer through a relay, with the monotonic
@@ -100,7 +102,7 @@
    */
   constructor(options: RelayedTargetsOptions) {
     this.options = options;
-    this.ownTargetCount = countOwnTargets(options.coreCount);
+    this.maxDirectTargetCount = countDirectTargets(options.coreCount);
   }
 
   /** {@inheritDoc LeasedTargetPort.start} */
@@ -137,35 +139,35 @@
 
   /** {@inheritDoc LeasedTargetPort.forget} */
   forget(targetId: string): void {
-    this.own.delete(targetId);
+    this.directTargets.delete(targetId);
     this.relayOf.delete(targetId);
     this.avoidedUntilMs.delete(targetId);
     this.options.targets.forget(targetId);
   }
 
   private call(target: LeasedTargetAddress, call: TargetCall): Promise<TargetAnswer> {
-    const relay = this.isOwn(target.targetId) ? undefined : this.findRelay(target.targetId);
+    const relay = this.isDirect(target.targetId) ? undefined : this.findRelay(target.targetId);
     return relay === undefined
       ? callTarget(this.options.targets, target, call)
-      : this.callThrough(relay, target, call);
+      : this.callViaRelay(relay, target, call);
   }
 
-  private isOwn(targetId: string): boolean {
+  private isDirect(targetId: string): boolean {
     const nowMs = this.options.clock.monotonicMs();
-    if (this.own.has(targetId)) {
-      this.own.set(targetId, nowMs);
+    if (this.directTargets.has(targetId)) {
+      this.directTargets.set(targetId, nowMs);
       return true;
     }
-    if (this.own.size >= this.ownTargetCount) this.forgetUnused(nowMs);
-    if (this.own.size >= this.ownTargetCount) return false;
-    this.own.set(targetId, nowMs);
+    if (this.directTargets.size >= this.maxDirectTargetCount) this.forgetIdleTargets(nowMs);
+    if (this.directTargets.size >= this.maxDirectTargetCount) return false;
+    this.directTargets.set(targetId, nowMs);
     return true;
   }
 
-  private forgetUnused(nowMs: number): void {
-    [...this.own]
-      .filter(([, calledAtMs]) => nowMs - calledAtMs > FORGET_AFTER_MS)
-      .forEach(([targetId]) => this.own.delete(targetId));
+  private forgetIdleTargets(nowMs: number): void {
+    [...this.directTargets]
+      .filter(([, calledAtMs]) => nowMs - calledAtMs > DIRECT_TARGET_IDLE_MS)
+      .forEach(([targetId]) => this.directTargets.delete(targetId));
   }
 
   private isAvoided(name: string): boolean {
@@ -179,16 +181,16 @@
   /** Finds the relay of a target; undefined if this instance has to call the target directly. */
   private findRelay(targetId: string): PeerAddress | undefined {
     if (this.isAvoided(targetId)) return undefined;
-    this.listRelays();
-    const known = this.relayOf.get(targetId) ?? this.chooseRelay(targetId);
-    if (known === undefined || this.isAvoided(known.instance)) return undefined;
-    this.relayOf.set(targetId, known);
-    return known;
+    this.refreshRelays();
+    const relay = this.relayOf.get(targetId) ?? this.chooseRelay(targetId);
+    if (relay === undefined || this.isAvoided(relay.instance)) return undefined;
+    this.relayOf.set(targetId, relay);
+    return relay;
   }
 
-  private listRelays(): void {
+  private refreshRelays(): void {
     const nowMs = this.options.clock.monotonicMs();
-    if (nowMs - this.relaysListedAtMs < RELAYS_EVERY_MS) return;
+    if (nowMs - this.relaysListedAtMs < RELAY_LIST_INTERVAL_MS) return;
     this.relaysListedAtMs = nowMs;
     this.relays = this.options.listRelays();
     const present = new Set(this.relays.map(({ instance }) => instance));
@@ -208,7 +210,7 @@
    * Otherwise the targets of a relay that is gone or cut off would count as silent until the group
    * notices, 2 to 3 s later, although this instance can reach them.
    */
-  private async callThrough(
+  private async callViaRelay(
     relay: PeerAddress,
     target: LeasedTargetAddress,
     call: TargetCall,
@@ -219,7 +221,7 @@
     const { targetId, host, port } = target;
     const request = { type: 'call-target', target: { targetId, host, port }, call } as const;
     try {
-      const reply = await peers.call(relay, request, RELAY_WAIT_MS + targetWaitMs);
+      const reply = await peers.call(relay, request, RELAY_TIMEOUT_MS + targetWaitMs);
       if (reply.type === 'target-answer') return reply.answer;
       const message = reply.type === 'refused' ? reply.message : `The relay replied ${reply.type}.`;
       return throwError('target-silent', message);
@@ -235,6 +237,6 @@
   }
 
   private avoid(name: string): void {
-    this.avoidedUntilMs.set(name, this.options.clock.monotonicMs() + AVOID_MS);
+    this.avoidedUntilMs.set(name, this.options.clock.monotonicMs() + RELAY_AVOIDANCE_MS);
   }
 }
--- a/src/taskHome/RunConfirmations.ts
+++ b/src/taskHome/RunConfirmations.ts
@@ -1,10 +1,10 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { PROVEN_MS } from '../systems/index.js';
 import type { OrderedRun } from './RunOrder.js';
-import type { TargetCalls } from './TargetCalls.js';
+import type { TargetCallOptions } from './TargetCallOptions.js';
 
 /** Options of {@link RunConfirmations}. */
-export interface RunConfirmationsOptions extends TargetCalls {
+export interface RunConfirmationsOptions extends TargetCallOptions {
   readonly find: (taskName: string) => OrderedRun | undefined;
   /** Called once other tasks may be placed on the target of the confirmed task. */
   readonly onConfirmed: () => void;
@@ -38,7 +38,7 @@
    * @param taskName - Name of the task.
    * @returns Resolves once the target has answered or the call has failed.
    */
-  async confirmSoon(taskName: string): Promise<void> {
+  async confirmAfterDelay(taskName: string): Promise<void> {
     const { find, onConfirmed } = this.options;
     const run = find(taskName)?.run;
     await sleep(CONFIRM_AFTER_MS, undefined, { ref: false });
--- a/src/taskHome/RunStops.ts
+++ b/src/taskHome/RunStopper.ts
@@ -15,8 +15,8 @@
 import type { TaskOrders } from './TaskOrders.js';
 import type { TaskProgress } from './TaskProgress.js';
 
-/** Options of {@link RunStops}. */
-export interface RunStopsOptions {
+/** Options of {@link RunStopper}. */
+export interface RunStopperOptions {
   readonly table: JobTable;
   readonly orders: Pick<TaskOrders, 'forget' | 'isStopping' | 'isUnsent' | 'stop'>;
   readonly health: TargetHealth;
@@ -27,14 +27,14 @@
 /**
  * Decides which runs of a home's tasks are stopped before they end by themselves, and stops them.
  */
-export class RunStops {
-  private readonly options: RunStopsOptions;
+export class RunStopper {
+  private readonly options: RunStopperOptions;
 
   /**
    * Creates a stopper for the runs of one home.
    * @param options - Jobs, orders, and the state of targets and runs.
    */
-  constructor(options: RunStopsOptions) {
+  constructor(options: RunStopperOptions) {
     this.options = options;
   }
 
--- a/src/taskHome/StartGuard.ts
+++ b/src/taskHome/StartGuard.ts
@@ -40,7 +40,7 @@
    * @returns Whether it is draining, or has less capacity than its runs need.
    */
   refusesStarts(targetId: string): boolean {
-    return this.options.getSessions().isDraining(targetId) || this.isOverfull(targetId);
+    return this.options.getSessions().isDraining(targetId) || this.isOvercommitted(targetId);
   }
 
   /**
@@ -48,12 +48,12 @@
    * target that does not enforce its capacity itself, if the capacity shrank while the placement
    * was being stored, or before this home took over and repeated the start.
    */
-  private isOverfull(targetId: string): boolean {
+  private isOvercommitted(targetId: string): boolean {
     const { table, orders, getSessions } = this.options;
     const sessions = getSessions();
-    const mayBe = sessions.hasShrunk(targetId) || this.adoptedTargets.has(targetId);
+    const mayBeOvercommitted = sessions.hasShrunk(targetId) || this.adoptedTargets.has(targetId);
     const capacity = sessions.getCapacity(targetId);
-    if (!mayBe || capacity === undefined) return false;
+    if (!mayBeOvercommitted || capacity === undefined) return false;
     const steps = orders
       .listOn(targetId)
       .map(({ taskName }) => table.getStep(taskName))
--- a/src/taskHome/StrayRuns.ts
+++ b/src/taskHome/StrayRuns.ts
@@ -1,8 +1,8 @@
 import type { RunKey } from './RunKey.js';
-import type { TargetCalls } from './TargetCalls.js';
+import type { TargetCallOptions } from './TargetCallOptions.js';
 
 /** Options of {@link StrayRuns}. */
-export type StrayRunsOptions = Pick<TargetCalls, 'events' | 'getAddress' | 'port' | 'term'>;
+export type StrayRunsOptions = Pick<TargetCallOptions, 'events' | 'getAddress' | 'port' | 'term'>;
 
 /** Stops runs that targets report although this home has not ordered them, such as late starts. */
 export class StrayRuns {
@@ -23,7 +23,7 @@
    * @param targetId - The target.
    * @param strays - The stray runs in its latest report.
    */
-  take(targetId: string, strays: readonly RunKey[]): void {
+  update(targetId: string, strays: readonly RunKey[]): void {
     if (strays.length === 0) this.targetIds.delete(targetId);
     else this.targetIds.add(targetId);
     strays.forEach((stray) => this.stop(stray));
@@ -34,7 +34,7 @@
    * @param targetId - The target.
    * @returns Whether its latest report shows any.
    */
-  areOn(targetId: string): boolean {
+  hasRunsOn(targetId: string): boolean {
     return this.targetIds.has(targetId);
   }
 
--- a/src/taskHome/TargetCalls.ts
+++ b/src/taskHome/TargetCallOptions.ts
@@ -3,7 +3,7 @@
 import type { RunKey } from './RunKey.js';
 
 /** Options shared by the classes that call the targets of a home. */
-export interface TargetCalls {
+export interface TargetCallOptions {
   readonly port: Pick<LeasedTargetPort, 'start' | 'stop'>;
   readonly term: number;
   readonly events: EventLog;
--- a/src/taskHome/TargetDirectory.ts
+++ b/src/taskHome/TargetDirectory.ts
@@ -22,7 +22,7 @@
 
   private readonly outage: OutageLog;
 
-  private refreshing: Promise<void> | undefined;
+  private pendingRefresh: Promise<void> | undefined;
 
   /**
    * Creates an empty directory.
@@ -35,7 +35,10 @@
       lost: 'targetListUnreachable',
       regained: 'targetListReachable',
     });
-    this.follower = new KeyedFollower({ ...options, onRecord: (record) => this.take(record) });
+    this.follower = new KeyedFollower({
+      ...options,
+      onRecord: (record) => this.applyRecord(record),
+    });
   }
 
   /**
@@ -48,10 +51,10 @@
 
   /** Reads the changes since the last refresh; if the store does not answer, the entries stay. */
   refresh(): Promise<void> {
-    this.refreshing ??= this.read().finally(() => {
-      this.refreshing = undefined;
+    this.pendingRefresh ??= this.read().finally(() => {
+      this.pendingRefresh = undefined;
     });
-    return this.refreshing;
+    return this.pendingRefresh;
   }
 
   private async read(): Promise<void> {
@@ -63,7 +66,7 @@
     }
   }
 
-  private take(record: KeyedRecord): void {
+  private applyRecord(record: KeyedRecord): void {
     const entry = record.value === undefined ? undefined : this.options.decode(record);
     if (entry === undefined) this.entries.delete(record.key);
     else this.entries.set(record.key, entry);
--- a/src/taskHome/TargetHealth.ts
+++ b/src/taskHome/TargetHealth.ts
@@ -8,18 +8,18 @@
 }
 
 /** Number of different jobs that must fail in a row on a target before it is avoided. */
-const FAILED_JOBS_TO_AVOID = 2;
+const MIN_FAILED_JOB_COUNT = 2;
 /** Time for which a target that fails tasks is avoided; the platform's faults last 5 to 7 s. */
-const AVOID_FAILING_MS = 4_000;
+const FAILURE_AVOIDANCE_MS = 4_000;
 /** Pause after a refusal for lack of capacity or health; the target reports once in between. */
-const AVOID_REFUSING_MS = 400;
+const REFUSAL_AVOIDANCE_MS = 400;
 
-interface Health {
+interface HealthRecord {
   readonly failedJobs: ReadonlySet<string>;
   readonly avoidedUntilMs: number;
 }
 
-const SOUND: Health = { failedJobs: new Set(), avoidedUntilMs: 0 };
+const HEALTHY: HealthRecord = { failedJobs: new Set(), avoidedUntilMs: 0 };
 
 /**
  * Tracks which targets fail the tasks that they start.
@@ -31,9 +31,9 @@
 export class TargetHealth {
   private readonly options: TargetHealthOptions;
 
-  private readonly healths = new Map<string, Health>();
+  private readonly healthByTarget = new Map<string, HealthRecord>();
 
-  private readonly failedTargets = new Map<string, ReadonlySet<string>>();
+  private readonly failedTargetsByTask = new Map<string, ReadonlySet<string>>();
 
   /**
    * Starts with all targets considered healthy.
@@ -48,7 +48,7 @@
    * @param targetId - Target on which a task was done.
    */
   noteSuccess(targetId: string): void {
-    this.healths.delete(targetId);
+    this.healthByTarget.delete(targetId);
   }
 
   /**
@@ -58,12 +58,12 @@
    * @param taskName - Name of the task.
    */
   noteFailure(targetId: string, jobId: string, taskName: string): void {
-    const earlier = this.failedTargets.get(taskName) ?? new Set();
-    this.failedTargets.set(taskName, new Set([...earlier, targetId]));
-    const { failedJobs, avoidedUntilMs } = this.healths.get(targetId) ?? SOUND;
+    const earlier = this.failedTargetsByTask.get(taskName) ?? new Set();
+    this.failedTargetsByTask.set(taskName, new Set([...earlier, targetId]));
+    const { failedJobs, avoidedUntilMs } = this.healthByTarget.get(targetId) ?? HEALTHY;
     const jobs = new Set([...failedJobs, jobId]);
-    this.healths.set(targetId, { failedJobs: jobs, avoidedUntilMs });
-    if (jobs.size >= FAILED_JOBS_TO_AVOID) this.avoid(targetId, AVOID_FAILING_MS, 'failures');
+    this.healthByTarget.set(targetId, { failedJobs: jobs, avoidedUntilMs });
+    if (jobs.size >= MIN_FAILED_JOB_COUNT) this.avoid(targetId, FAILURE_AVOIDANCE_MS, 'failures');
   }
 
   /**
@@ -71,7 +71,7 @@
    * @param targetId - The target.
    */
   noteStall(targetId: string): void {
-    this.avoid(targetId, AVOID_FAILING_MS, 'stall');
+    this.avoid(targetId, FAILURE_AVOIDANCE_MS, 'stall');
   }
 
   /**
@@ -79,7 +79,7 @@
    * @param targetId - The target.
    */
   noteRefusal(targetId: string): void {
-    this.avoid(targetId, AVOID_REFUSING_MS, 'refusal');
+    this.avoid(targetId, REFUSAL_AVOIDANCE_MS, 'refusal');
   }
 
   /**
@@ -88,7 +88,7 @@
    * @returns Whether it should get no new task.
    */
   isAvoided(targetId: string): boolean {
-    const { avoidedUntilMs } = this.healths.get(targetId) ?? SOUND;
+    const { avoidedUntilMs } = this.healthByTarget.get(targetId) ?? HEALTHY;
     return this.options.clock.monotonicMs() < avoidedUntilMs;
   }
 
@@ -98,14 +98,14 @@
    * @returns Ids of the targets.
    */
   getFailedTargets(taskName: string): ReadonlySet<string> {
-    return this.failedTargets.get(taskName) ?? new Set();
+    return this.failedTargetsByTask.get(taskName) ?? new Set();
   }
 
   private avoid(targetId: string, forMs: number, reason: string): void {
     const { clock, events } = this.options;
-    const { failedJobs, avoidedUntilMs } = this.healths.get(targetId) ?? SOUND;
+    const { failedJobs, avoidedUntilMs } = this.healthByTarget.get(targetId) ?? HEALTHY;
     const untilMs = Math.max(avoidedUntilMs, clock.monotonicMs() + forMs);
-    this.healths.set(targetId, { failedJobs, avoidedUntilMs: untilMs });
+    this.healthByTarget.set(targetId, { failedJobs, avoidedUntilMs: untilMs });
     events.write('targetAvoided', { targetId, reason, forMs, failedJobCount: failedJobs.size });
   }
 }
--- a/src/taskHome/TargetSession.ts
+++ b/src/taskHome/TargetSession.ts
@@ -32,7 +32,7 @@
 /** Pause after an unanswered renewal, in milliseconds; allows several attempts within one lease. */
 const RETRY_PAUSE_MS = 200;
 /** Rate of the slowest clock that the platform's bounds allow a target: 2 % slow. */
-const SLOWEST_TARGET_CLOCK = 0.98;
+const SLOWEST_TARGET_CLOCK_RATE = 0.98;
 
 /** Renews the lease of one target and passes on its reports, one renewal at a time. */
 export class TargetSession {
@@ -44,7 +44,7 @@
 
   private acknowledgedEndNumber = 0;
 
-  private readTargetClock: { readonly targetMs: number; readonly atMs: number } | undefined;
+  private clockReading: { readonly targetMs: number; readonly atMs: number } | undefined;
 
   private leaseUntilTargetMs = 0;
 
@@ -73,26 +73,26 @@
 
   /** Age of the target's latest answer in milliseconds; undefined before the first. */
   get answerAgeMs(): number | undefined {
-    if (this.readTargetClock === undefined) return undefined;
-    return Math.round(this.options.clock.monotonicMs() - this.readTargetClock.atMs);
+    if (this.clockReading === undefined) return undefined;
+    return Math.round(this.options.clock.monotonicMs() - this.clockReading.atMs);
   }
 
   /** When the target last answered, by the monotonic clock; undefined before the first answer. */
   get answeredAtMs(): number | undefined {
-    return this.readTargetClock?.atMs;
+    return this.clockReading?.atMs;
   }
 
   /**
    * Monotonic time by which everything that ran on the target has certainly been killed. Before the
    * first answer, a lease of an earlier home may still be valid.
    */
-  get surelyLapsedAtMs(): number {
-    const { readTargetClock, leaseUntilTargetMs, createdAtMs } = this;
-    if (readTargetClock === undefined) {
-      return createdAtMs + this.options.leaseMs / SLOWEST_TARGET_CLOCK;
+  get latestLapseAtMs(): number {
+    const { clockReading: clockReading, leaseUntilTargetMs, createdAtMs } = this;
+    if (clockReading === undefined) {
+      return createdAtMs + this.options.leaseMs / SLOWEST_TARGET_CLOCK_RATE;
     }
-    const restMs = leaseUntilTargetMs - readTargetClock.targetMs;
-    return readTargetClock.atMs + Math.max(0, restMs) / SLOWEST_TARGET_CLOCK;
+    const remainingMs = leaseUntilTargetMs - clockReading.targetMs;
+    return clockReading.atMs + Math.max(0, remainingMs) / SLOWEST_TARGET_CLOCK_RATE;
   }
 
   /** Renews the lease until the session is closed or ends by itself. */
@@ -118,7 +118,7 @@
    * @param targetMs - Reading of the target's clock.
    */
   noteClock(targetMs: number): void {
-    this.readTargetClock = { targetMs, atMs: this.options.clock.monotonicMs() };
+    this.clockReading = { targetMs, atMs: this.options.clock.monotonicMs() };
   }
 
   /**
@@ -126,10 +126,10 @@
    * @returns Its end on the target's clock, in milliseconds.
    */
   extendLease(): number {
-    const { readTargetClock } = this;
-    if (readTargetClock === undefined) return this.leaseUntilTargetMs;
-    const passedMs = this.options.clock.monotonicMs() - readTargetClock.atMs;
-    const untilMs = Math.floor(readTargetClock.targetMs + passedMs + this.options.leaseMs);
+    const { clockReading: clockReading } = this;
+    if (clockReading === undefined) return this.leaseUntilTargetMs;
+    const elapsedMs = this.options.clock.monotonicMs() - clockReading.atMs;
+    const untilMs = Math.floor(clockReading.targetMs + elapsedMs + this.options.leaseMs);
     this.leaseUntilTargetMs = Math.max(this.leaseUntilTargetMs, untilMs);
     return this.leaseUntilTargetMs;
   }
@@ -148,15 +148,15 @@
     // While the target is silent, renewals do not extend its lease either: an unanswered renewal
     // may still take effect, so the lease would never be certain to have lapsed, and the target's
     // tasks would never run again.
-    const isOnlyLook = this.readTargetClock === undefined || this.outage.isOut;
+    const isProbe = this.clockReading === undefined || this.outage.isOut;
     try {
       const answer = await port.renew(address, {
         term,
         acknowledgedEndNumber: this.acknowledgedEndNumber,
-        leaseUntilTargetMs: isOnlyLook ? undefined : this.extendLease(),
-        waitMs: isOnlyLook ? 0 : waitMs,
+        leaseUntilTargetMs: isProbe ? undefined : this.extendLease(),
+        waitMs: isProbe ? 0 : waitMs,
       });
-      if (!this.isClosed) await this.take(answer, askedAtMs);
+      if (!this.isClosed) await this.handleAnswer(answer, askedAtMs);
     } catch (thrown) {
       const { targetId } = address;
       this.outage.noteFailure({ targetId, term, reason: String(thrown) });
@@ -164,7 +164,7 @@
     }
   }
 
-  private async take(answer: LeaseAnswer, askedAtMs: number): Promise<void> {
+  private async handleAnswer(answer: LeaseAnswer, askedAtMs: number): Promise<void> {
     const { term, address } = this.options;
     const { targetId } = address;
     switch (answer.type) {
--- a/src/taskHome/TargetSessions.ts
+++ b/src/taskHome/TargetSessions.ts
@@ -8,7 +8,7 @@
 import type { TaskHomeTiming } from './TaskHomeTiming.js';
 
 /** Why nothing runs on a target any more; after a lapse, the same lifetime may come back. */
-export type TargetLoss = 'other-lifetime' | 'crashed' | 'unlisted' | 'lapsed';
+export type TargetLossReason = 'other-lifetime' | 'crashed' | 'unlisted' | 'lapsed';
 
 /** Options of {@link TargetSessions}. */
 export interface TargetSessionsOptions {
@@ -23,11 +23,11 @@
   /**
    * Called when the lifetime of a target is certainly over, so that nothing runs there any more.
    */
-  readonly onGone: (targetId: string, reason: TargetLoss) => void;
+  readonly onGone: (targetId: string, reason: TargetLossReason) => void;
   readonly onStaleTerm: () => void;
 }
 
-interface Known {
+interface TrackedTarget {
   readonly session: TargetSession;
   entry: TargetEntry;
   /** Whether the platform still lists the target. */
@@ -40,17 +40,17 @@
 }
 
 /** Time within which a new home has found the targets that existed before it, in milliseconds. */
-const TARGETS_MET_MS = 1_000;
+const INITIAL_DISCOVERY_MS = 1_000;
 /** Age up to which a target has just started, in milliseconds; a faulty one crashes every few s. */
 const JUST_STARTED_MS = 10_000;
 /** Margin after the end of a lease until its target counts as empty, in milliseconds. */
 const LAPSE_MARGIN_MS = 300;
 
-function isSmaller(now: Resources, before: Resources): boolean {
+function hasLessCapacity(current: Resources, previous: Resources): boolean {
   return (
-    now.cpuMillicores < before.cpuMillicores ||
-    now.memoryMb < before.memoryMb ||
-    now.gpuCount < before.gpuCount
+    current.cpuMillicores < previous.cpuMillicores ||
+    current.memoryMb < previous.memoryMb ||
+    current.gpuCount < previous.gpuCount
   );
 }
 
@@ -58,7 +58,7 @@
 export class TargetSessions {
   private readonly options: TargetSessionsOptions;
 
-  private readonly known = new Map<string, Known>();
+  private readonly tracked = new Map<string, TrackedTarget>();
 
   private readonly ended = new Set<string>();
 
@@ -78,9 +78,9 @@
     const entries = this.options.getEntries();
     entries.forEach((entry) => this.update(entry));
     const nowMs = this.options.clock.monotonicMs();
-    [...this.known].forEach(([targetId, known]) => {
-      Object.assign(known, { isListed: entries.has(targetId) });
-      if (TargetSessions.isSurelyGone(known, nowMs)) {
+    [...this.tracked].forEach(([targetId, target]) => {
+      Object.assign(target, { isListed: entries.has(targetId) });
+      if (TargetSessions.isCertainlyGone(target, nowMs)) {
         this.options.onGone(targetId, 'lapsed');
       }
     });
@@ -91,7 +91,7 @@
    * @returns Their ids.
    */
   listDraining(): readonly string[] {
-    return [...this.known.values()]
+    return [...this.tracked.values()]
       .filter(({ entry }) => entry.isDraining)
       .map(({ entry }) => entry.targetId);
   }
@@ -102,7 +102,7 @@
    * @returns Whether it has.
    */
   isDraining(targetId: string): boolean {
-    return this.known.get(targetId)?.entry.isDraining === true;
+    return this.tracked.get(targetId)?.entry.isDraining === true;
   }
 
   /**
@@ -111,7 +111,7 @@
    * @returns Its capacity, or undefined if the target is not known.
    */
   getCapacity(targetId: string): Resources | undefined {
-    return this.known.get(targetId)?.entry.capacity;
+    return this.tracked.get(targetId)?.entry.capacity;
   }
 
   /**
@@ -121,7 +121,7 @@
    * @returns Whether its capacity is known to have shrunk.
    */
   hasShrunk(targetId: string): boolean {
-    return this.known.get(targetId)?.hasShrunk === true;
+    return this.tracked.get(targetId)?.hasShrunk === true;
   }
 
   /**
@@ -131,8 +131,8 @@
    * @returns Whether it has; false for targets that existed when this home opened.
    */
   hasJustStarted(targetId: string): boolean {
-    const { appearedAtMs = -Infinity } = this.known.get(targetId) ?? {};
-    if (appearedAtMs < this.openedAtMs + TARGETS_MET_MS) return false;
+    const { appearedAtMs = -Infinity } = this.tracked.get(targetId) ?? {};
+    if (appearedAtMs < this.openedAtMs + INITIAL_DISCOVERY_MS) return false;
     return this.options.clock.monotonicMs() - appearedAtMs < JUST_STARTED_MS;
   }
 
@@ -142,7 +142,7 @@
    * @returns Whether it is known.
    */
   has(targetId: string): boolean {
-    return this.known.has(targetId);
+    return this.tracked.has(targetId);
   }
 
   /**
@@ -151,7 +151,7 @@
    * @returns The address, or undefined if the target is not known.
    */
   getAddress(targetId: string): LeasedTargetAddress | undefined {
-    return this.known.get(targetId)?.entry;
+    return this.tracked.get(targetId)?.entry;
   }
 
   /**
@@ -160,7 +160,7 @@
    * @returns The age in milliseconds, or undefined if the target has not answered yet.
    */
   getAnswerAgeMs(targetId: string): number | undefined {
-    return this.known.get(targetId)?.session.answerAgeMs;
+    return this.tracked.get(targetId)?.session.answerAgeMs;
   }
 
   /**
@@ -169,7 +169,7 @@
    * @returns The time by the monotonic clock, or undefined if the target has not answered yet.
    */
   getAnsweredAtMs(targetId: string): number | undefined {
-    return this.known.get(targetId)?.session.answeredAtMs;
+    return this.tracked.get(targetId)?.session.answeredAtMs;
   }
 
   /**
@@ -178,7 +178,7 @@
    * @returns The end on the target's own clock, in milliseconds.
    */
   extendLease(targetId: string): number {
-    return this.known.get(targetId)?.session.extendLease() ?? 0;
+    return this.tracked.get(targetId)?.session.extendLease() ?? 0;
   }
 
   /**
@@ -187,7 +187,7 @@
    * @param targetClockMs - Reading of its clock.
    */
   noteClock(targetId: string, targetClockMs: number): void {
-    this.known.get(targetId)?.session.noteClock(targetClockMs);
+    this.tracked.get(targetId)?.session.noteClock(targetClockMs);
   }
 
   /**
@@ -197,14 +197,14 @@
    * @param ended - Ends of a report.
    * @returns The new ones, in order.
    */
-  takeFreshEnds(targetId: string, ended: readonly EndedTaskReport[]): readonly EndedTaskReport[] {
-    const known = this.known.get(targetId);
-    if (known === undefined) return [];
-    const fresh = ended
-      .filter(({ endNumber }) => endNumber > known.takenEndNumber)
+  takeNewEnds(targetId: string, ended: readonly EndedTaskReport[]): readonly EndedTaskReport[] {
+    const target = this.tracked.get(targetId);
+    if (target === undefined) return [];
+    const newEnds = ended
+      .filter(({ endNumber }) => endNumber > target.takenEndNumber)
       .toSorted((a, b) => a.endNumber - b.endNumber);
-    known.takenEndNumber = fresh.at(-1)?.endNumber ?? known.takenEndNumber;
-    return fresh;
+    target.takenEndNumber = newEnds.at(-1)?.endNumber ?? target.takenEndNumber;
+    return newEnds;
   }
 
   /**
@@ -213,7 +213,7 @@
    * @param endNumber - Number of the last one.
    */
   acknowledge(targetId: string, endNumber: number): void {
-    this.known.get(targetId)?.session.acknowledge(endNumber);
+    this.tracked.get(targetId)?.session.acknowledge(endNumber);
   }
 
   /**
@@ -224,7 +224,7 @@
    * store.
    */
   listForPlacement(isAvoided: (targetId: string) => boolean): readonly PlacementTarget[] {
-    return [...this.known.values()].map(({ entry, session }) => ({
+    return [...this.tracked.values()].map(({ entry, session }) => ({
       targetId: entry.targetId,
       pool: entry.pool,
       rack: entry.rack,
@@ -241,15 +241,15 @@
    * @param mayReturn - Whether the same lifetime may come back after its lease has lapsed.
    */
   remove(targetId: string, mayReturn: boolean): void {
-    this.known.get(targetId)?.session.close();
-    this.known.delete(targetId);
+    this.tracked.get(targetId)?.session.close();
+    this.tracked.delete(targetId);
     if (!mayReturn) this.ended.add(targetId);
     this.options.targets.forget(targetId);
   }
 
   /** Ends every session; the targets keep their leases until these lapse. */
   close(): void {
-    this.known.forEach(({ session }) => session.close());
+    this.tracked.forEach(({ session }) => session.close());
   }
 
   /**
@@ -259,23 +259,23 @@
    * expire meanwhile; if it counted as gone, its tasks would run twice. The list of VMs shows
    * sooner that a target has left.
    */
-  private static isSurelyGone({ session, isListed }: Known, nowMs: number): boolean {
+  private static isCertainlyGone({ session, isListed }: TrackedTarget, nowMs: number): boolean {
     if (isListed || session.isReachable) return false;
-    return nowMs > session.surelyLapsedAtMs + LAPSE_MARGIN_MS;
+    return nowMs > session.latestLapseAtMs + LAPSE_MARGIN_MS;
   }
 
   private update(entry: TargetEntry): void {
-    const known = this.known.get(entry.targetId);
-    if (known === undefined) {
+    const target = this.tracked.get(entry.targetId);
+    if (target === undefined) {
       if (!this.ended.has(entry.targetId)) this.open(entry);
       return;
     }
     const { events, term } = this.options;
-    if (entry.isDraining && !known.entry.isDraining) {
+    if (entry.isDraining && !target.entry.isDraining) {
       events.write('targetDraining', { targetId: entry.targetId, pool: entry.pool, term });
     }
-    known.hasShrunk ||= isSmaller(entry.capacity, known.entry.capacity);
-    known.entry = entry;
+    target.hasShrunk ||= hasLessCapacity(entry.capacity, target.entry.capacity);
+    target.entry = entry;
   }
 
   private open(entry: TargetEntry): void {
@@ -292,7 +292,7 @@
       onReport: (report) => onReport(targetId, report),
       onEnd: (end) => (end === 'stale-term' ? onStaleTerm() : onGone(targetId, end)),
     });
-    this.known.set(targetId, {
+    this.tracked.set(targetId, {
       session,
       entry,
       isListed: true,
--- a/src/taskHome/TaskHome.ts
+++ b/src/taskHome/TaskHome.ts
@@ -85,7 +85,7 @@
     this.sessions = new TargetSessions({
       ...this.options,
       onReport: (targetId, report) => this.handleReport(targetId, report),
-      onGone: (targetId, reason) => this.runs.loseTarget(targetId, reason),
+      onGone: (targetId, reason) => this.runs.handleLostTarget(targetId, reason),
       onStaleTerm: () => this.handleReplaced(),
     });
     this.rounds = new PlacementRounds({
@@ -195,7 +195,7 @@
     ...ended
   }: SyncPoolParameters): Promise<PoolDemand> {
     this.assertIsHome();
-    this.runs.loseEnded(ended);
+    this.runs.handleEndedTargets(ended);
     this.drains.replace(pool, drainedTargets, drainedForMs);
     this.runs.evacuate(this.listTargetsToEvacuate());
     // Tasks placed on drained targets before this call are counted below; no more are placed there.
@@ -280,8 +280,8 @@
   private async handleReport(targetId: string, report: TargetReport): Promise<void> {
     if (this.isClosed) return;
     const { answer } = report;
-    const newEnds = this.sessions.takeFreshEnds(targetId, answer.ended);
-    this.runs.takeReport(targetId, newEnds, report);
+    const newEnds = this.sessions.takeNewEnds(targetId, answer.ended);
+    this.runs.handleReport(targetId, newEnds, report);
     if (answer.ended.length === 0) {
       this.flushInBackground();
       return;
@@ -307,7 +307,7 @@
     if (clock.monotonicMs() < this.openedAtMs + leaseMs) return;
     [...this.table.listUsedTargets()]
       .filter((targetId) => !this.sessions.has(targetId))
-      .forEach((targetId) => this.runs.loseTarget(targetId, 'lapsed'));
+      .forEach((targetId) => this.runs.handleLostTarget(targetId, 'lapsed'));
   }
 
   private removeExpiredJobs(): void {
--- a/src/taskHome/TaskOrders.ts
+++ b/src/taskHome/TaskOrders.ts
@@ -32,7 +32,7 @@
   /** The same orders by target, because each report of a target is compared with its orders. */
   private readonly byTarget = new Map<string, Set<RunOrder>>();
 
-  private readonly strays: StrayRuns;
+  private readonly strayRuns: StrayRuns;
 
   /**
    * Creates an empty set of orders.
@@ -40,7 +40,7 @@
    */
   constructor(options: TaskOrdersOptions) {
     this.options = options;
-    this.strays = new StrayRuns(options);
+    this.strayRuns = new StrayRuns(options);
   }
 
   /**
@@ -122,8 +122,8 @@
    * @param targetId - Id of the target.
    * @returns Whether its latest report shows any.
    */
-  hasStrays(targetId: string): boolean {
-    return this.strays.areOn(targetId);
+  hasStrayRuns(targetId: string): boolean {
+    return this.strayRuns.hasRunsOn(targetId);
   }
 
   /**
@@ -131,7 +131,7 @@
    * @param targetId - Id of the target.
    */
   forgetTarget(targetId: string): void {
-    this.strays.forgetTarget(targetId);
+    this.strayRuns.forgetTarget(targetId);
     if (this.countOn(targetId) === 0) this.byTarget.delete(targetId);
   }
 
@@ -141,7 +141,7 @@
    */
   start(taskName: string): void {
     const order = this.orders.get(taskName);
-    if (order?.phase === 'unanswered') this.startAgain(order);
+    if (order?.phase === 'unanswered') this.repeatStart(order);
     if (order?.phase !== 'unsent') return;
     if (this.options.refusesStarts(order.targetId)) this.withdraw(order);
     else void this.sendStart(order);
@@ -164,19 +164,19 @@
    * @param askedAtMs - When the report was requested, by the monotonic clock.
    */
   reconcile(targetId: string, running: readonly RunningTaskReport[], askedAtMs: number): void {
-    const runningNames = new Map(running.map((task) => [task.taskName, task]));
+    const runningByName = new Map(running.map((task) => [task.taskName, task]));
     const onTarget = this.byTarget.get(targetId) ?? [];
     [...onTarget].forEach((order) => {
       // An order handled earlier in this loop may have ended this run too, as one of its gang.
       if (!this.isCurrent(order)) return;
-      const isRunning = runningNames.get(order.taskName)?.run === order.run;
+      const isRunning = runningByName.get(order.taskName)?.run === order.run;
       if (isRunning) this.noteRunning(order);
       else if (order.answeredAtMs < askedAtMs) this.noteAbsent(order);
     });
     const strays = running
       .filter(({ taskName, run }) => !this.isOrdered(targetId, taskName, run))
       .map(({ taskName, run }): RunKey => ({ taskName, run, targetId }));
-    this.strays.take(targetId, strays);
+    this.strayRuns.update(targetId, strays);
   }
 
   private add(order: RunOrder): void {
@@ -206,7 +206,7 @@
       case 'stopping':
         return;
       case 'unanswered':
-        this.startAgain(order);
+        this.repeatStart(order);
         return;
       case 'stop-unanswered':
         void this.sendStop(order);
@@ -226,7 +226,7 @@
    * has shrunk, the run is stopped instead: the start, repeated seconds later, would put a task on
    * a target that takes none. Once the run is stopped there, the task can go to another target.
    */
-  private startAgain(order: RunOrder): void {
+  private repeatStart(order: RunOrder): void {
     if (this.options.refusesStarts(order.targetId)) void this.sendStop(order);
     else void this.sendStart(order);
   }
@@ -266,14 +266,14 @@
     const { taskName, run, targetId } = order;
     try {
       const answer = await port.start(address, start);
-      if (this.isCurrent(order)) this.takeStartAnswer(order, answer);
+      if (this.isCurrent(order)) this.handleStartAnswer(order, answer);
     } catch (thrown) {
       events.write('startUnanswered', { taskName, run, targetId, term, reason: String(thrown) });
       if (this.isCurrent(order) && order.phase === 'starting') this.settle(order, 'unanswered');
     }
   }
 
-  private takeStartAnswer(order: RunOrder, answer: StartAnswer): void {
+  private handleStartAnswer(order: RunOrder, answer: StartAnswer): void {
     const { onClock, onOtherLifetime } = this.options;
     switch (answer.type) {
       case 'started':
@@ -285,14 +285,14 @@
         return;
       case 'refused':
         if (answer.targetClockMs !== undefined) onClock(order.targetId, answer.targetClockMs);
-        this.takeRefusal(order, answer.reason);
+        this.handleRefusal(order, answer.reason);
         return;
       default:
         assertNever(answer);
     }
   }
 
-  private takeRefusal(order: RunOrder, reason: StartRefusal): void {
+  private handleRefusal(order: RunOrder, reason: StartRefusal): void {
     const { events, term, onRefused, onStaleTerm } = this.options;
     const { taskName, run, targetId } = order;
     events.write('startRefused', { taskName, run, targetId, term, reason });
@@ -320,14 +320,14 @@
     const { taskName, run, targetId } = order;
     try {
       const answer = await port.stop(address, taskName, run, term);
-      if (this.isCurrent(order)) this.takeStopAnswer(order, answer);
+      if (this.isCurrent(order)) this.handleStopAnswer(order, answer);
     } catch (thrown) {
       events.write('stopUnanswered', { taskName, run, targetId, term, reason: String(thrown) });
       if (this.isCurrent(order)) this.settle(order, 'stop-unanswered');
     }
   }
 
-  private takeStopAnswer(order: RunOrder, answer: OrderAnswer): void {
+  private handleStopAnswer(order: RunOrder, answer: OrderAnswer): void {
     const { onOtherLifetime, onStaleTerm } = this.options;
     switch (answer.type) {
       case 'accepted':
--- a/src/taskHome/TaskOrdersOptions.ts
+++ b/src/taskHome/TaskOrdersOptions.ts
@@ -1,10 +1,10 @@
 import type { StartRefusal } from '../targets/index.js';
 import type { Clock } from '../utils/index.js';
 import type { RunKey } from './RunKey.js';
-import type { TargetCalls } from './TargetCalls.js';
+import type { TargetCallOptions } from './TargetCallOptions.js';
 
 /** Options of `TaskOrders`. */
-export interface TaskOrdersOptions extends TargetCalls {
+export interface TaskOrdersOptions extends TargetCallOptions {
   readonly clock: Clock;
   /**
    * Tells whether a target must not receive a start: it is draining, or its capacity has shrunk.
--- a/src/taskHome/TaskPacer.ts
+++ b/src/taskHome/TaskPacer.ts
@@ -22,7 +22,7 @@
   private readonly options: TaskPacerOptions;
 
   /** Speeds in percent that targets have accepted, by task and run; a run starts at full speed. */
-  private readonly percents = new Map<string, number>();
+  private readonly acceptedPercents = new Map<string, number>();
 
   /**
    * Starts with every task at full speed.
@@ -37,12 +37,12 @@
    * @param target - The target.
    * @param running - What runs there.
    */
-  take(target: LeasedTargetAddress, running: readonly RunningTaskReport[]): void {
+  handleReport(target: LeasedTargetAddress, running: readonly RunningTaskReport[]): void {
     const tasks = running.map((task) => ({ task, step: this.options.getStep(task.taskName) }));
     const paced = tasks
       .filter(({ step }) => step?.isBestEffort === true)
       .map(({ task: { taskName, run } }): PacedTask => {
-        const percent = this.percents.get(`${taskName} ${run}`) ?? FULL_PERCENT;
+        const percent = this.acceptedPercents.get(`${taskName} ${run}`) ?? FULL_PERCENT;
         return { taskName, run, percent };
       });
     if (paced.length === 0) return;
@@ -53,17 +53,17 @@
       return [{ latencyMs, latencyTargetMs }];
     });
     planPace(serving, paced).forEach((change) => {
-      void this.send(target, change);
+      void this.sendPace(target, change);
     });
   }
 
-  private async send(target: LeasedTargetAddress, change: PaceChange): Promise<void> {
+  private async sendPace(target: LeasedTargetAddress, change: PaceChange): Promise<void> {
     const { port, term, events } = this.options;
     const { taskName, run, percent } = change;
     const { targetId } = target;
     try {
       const { type } = await port.pace(target, taskName, run, percent, term);
-      if (type === 'accepted') this.percents.set(`${taskName} ${run}`, percent);
+      if (type === 'accepted') this.acceptedPercents.set(`${taskName} ${run}`, percent);
       events.write('taskPaced', { taskName, run, targetId, percent, outcome: type });
     } catch (thrown) {
       // The next report, a second later, leads to a new decision.
--- a/src/taskHome/TaskProgress.ts
+++ b/src/taskHome/TaskProgress.ts
@@ -8,7 +8,7 @@
  * Age from which a report is outdated, in milliseconds. Reports come every second; the platform's
  * users consider a task unavailable after 4.5 s or more without it.
  */
-const FRESH_MS = 2_000;
+const MAX_REPORT_AGE_MS = 2_000;
 
 /**
  * Time without progress from which a task counts as stalled, in milliseconds. A task of 4 s on a
@@ -89,6 +89,6 @@
   isAtWork(taskName: string, run: number): boolean {
     const progress = this.byTask.get(taskName);
     if (progress?.run !== run || progress.percent < AT_WORK_PERCENT) return false;
-    return this.clock.monotonicMs() - progress.notedAtMs < FRESH_MS;
+    return this.clock.monotonicMs() - progress.notedAtMs < MAX_REPORT_AGE_MS;
   }
 }
--- a/src/taskHome/TaskRuns.ts
+++ b/src/taskHome/TaskRuns.ts
@@ -20,15 +20,15 @@
 import { createTaskStart } from './createTaskStart.js';
 import type { JobTable } from './JobTable.js';
 import type { RunKey } from './RunKey.js';
-import { type RunBlame, RunLosses } from './RunLosses.js';
+import { type AttributedCrash, CrashAttribution } from './CrashAttribution.js';
 import { RunConfirmations } from './RunConfirmations.js';
-import { RunStops } from './RunStops.js';
+import { RunStopper } from './RunStopper.js';
 import { RunTimer } from './RunTimer.js';
 import { StartGuard } from './StartGuard.js';
 import { TargetHealth } from './TargetHealth.js';
 import type { TargetReport } from './TargetSession.js';
-import type { TargetLoss, TargetSessions } from './TargetSessions.js';
-import type { TargetCalls } from './TargetCalls.js';
+import type { TargetLossReason, TargetSessions } from './TargetSessions.js';
+import type { TargetCallOptions } from './TargetCallOptions.js';
 import { TaskOrders } from './TaskOrders.js';
 import { TaskPacer } from './TaskPacer.js';
 import { TaskProgress } from './TaskProgress.js';
@@ -50,13 +50,13 @@
 
   private readonly timer: RunTimer;
 
-  private readonly stops: RunStops;
+  private readonly stopper: RunStopper;
 
-  private readonly guard: StartGuard;
+  private readonly startGuard: StartGuard;
 
   private readonly confirmations: RunConfirmations;
 
-  private readonly losses: RunLosses;
+  private readonly crashAttribution: CrashAttribution;
 
   /**
    * Starts without runs.
@@ -75,7 +75,7 @@
       events,
       getStep: (taskName) => table.getStep(taskName),
     });
-    const calls: TargetCalls = {
+    const calls: TargetCallOptions = {
       port: targets,
       term,
       events,
@@ -86,21 +86,21 @@
     this.orders = new TaskOrders({
       ...calls,
       clock,
-      refusesStarts: (targetId) => this.guard.refusesStarts(targetId),
-      onWithdrawn: (key) => this.takeBack(key),
-      onRefused: (key, reason) => this.takeRefusal(key, reason),
+      refusesStarts: (targetId) => this.startGuard.refusesStarts(targetId),
+      onWithdrawn: (key) => this.returnToWaiting(key),
+      onRefused: (key, reason) => this.handleRefusal(key, reason),
       onVanished: (key) => this.endRun(key, { end: 'lapsed', checkpoint: undefined }, 'vanished'),
-      onOtherLifetime: (targetId) => this.loseTarget(targetId, 'other-lifetime'),
+      onOtherLifetime: (targetId) => this.handleLostTarget(targetId, 'other-lifetime'),
       onStaleTerm: () => this.options.onStaleTerm(),
     });
-    this.losses = new RunLosses({ ...options, orders: this.orders });
-    this.guard = new StartGuard({ ...options, orders: this.orders });
+    this.crashAttribution = new CrashAttribution({ ...options, orders: this.orders });
+    this.startGuard = new StartGuard({ ...options, orders: this.orders });
     this.confirmations = new RunConfirmations({
       ...calls,
       find: (taskName) => this.orders.find(taskName),
       onConfirmed: () => this.options.onChanged(),
     });
-    this.stops = new RunStops({
+    this.stopper = new RunStopper({
       table,
       orders: this.orders,
       health: this.health,
@@ -126,7 +126,7 @@
     listPlacedTasks(row).forEach(({ task }) => {
       const { run, targetId } = task;
       this.orders.adopt({ taskName: nameTask(row, task), run, targetId: targetId! });
-      this.guard.noteAdopted(targetId!);
+      this.startGuard.noteAdopted(targetId!);
     });
   }
 
@@ -156,7 +156,7 @@
   start(taskName: string): void {
     this.orders.start(taskName);
     const task = this.table.findTask(taskName)?.task;
-    if (task !== undefined && isSuspect(task)) void this.confirmations.confirmSoon(taskName);
+    if (task !== undefined && isSuspect(task)) void this.confirmations.confirmAfterDelay(taskName);
   }
 
   /**
@@ -177,7 +177,7 @@
    */
   isAvoided(targetId: string): boolean {
     const { mechanisms } = this.options;
-    if (this.orders.hasStrays(targetId)) return true;
+    if (this.orders.hasStrayRuns(targetId)) return true;
     return mechanisms.has('failing-targets-avoided') && this.health.isAvoided(targetId);
   }
 
@@ -196,13 +196,13 @@
    * @param ended - Ends that were not taken before.
    * @param report - The whole report.
    */
-  takeReport(targetId: string, ended: readonly EndedTaskReport[], report: TargetReport): void {
+  handleReport(targetId: string, ended: readonly EndedTaskReport[], report: TargetReport): void {
     const { running } = report.answer;
-    ended.forEach((end) => this.takeEnd(targetId, end));
+    ended.forEach((end) => this.handleReportedEnd(targetId, end));
     this.progress.note(running);
-    this.stops.stopStalled(targetId, running);
+    this.stopper.stopStalled(targetId, running);
     const address = this.sessions.getAddress(targetId);
-    if (address !== undefined) this.pacer.take(address, running);
+    if (address !== undefined) this.pacer.handleReport(address, running);
     this.orders.reconcile(targetId, running, report.askedAtMs);
   }
 
@@ -211,7 +211,7 @@
    * @param drainedTargets - Ids of the targets.
    */
   evacuate(drainedTargets: ReadonlySet<string>): void {
-    this.stops.evacuate(drainedTargets);
+    this.stopper.evacuate(drainedTargets);
   }
 
   /**
@@ -219,15 +219,15 @@
    * once. Otherwise a target that falls silent would keep its tasks until its lease has lapsed.
    * @param ended - The lifetimes, and which of them crashed.
    */
-  loseEnded({ endedTargets, crashedTargets, lostWithRack }: EndedTargets): void {
+  handleEndedTargets({ endedTargets, crashedTargets, lostWithRack }: EndedTargets): void {
     const crashed = new Set(crashedTargets);
     endedTargets
       .filter((targetId) => this.isKnown(targetId))
       .forEach((targetId) =>
-        this.loseTarget(targetId, crashed.has(targetId) ? 'crashed' : 'unlisted'),
+        this.handleLostTarget(targetId, crashed.has(targetId) ? 'crashed' : 'unlisted'),
       );
     const withRack = new Set(lostWithRack);
-    crashedTargets.forEach((targetId) => this.blame(targetId, withRack.has(targetId)));
+    crashedTargets.forEach((targetId) => this.attributeCrash(targetId, withRack.has(targetId)));
   }
 
   /**
@@ -235,10 +235,10 @@
    * @param suspects - The placed tasks that may have crashed a target.
    * @returns Ids of the targets.
    */
-  listHoldingSuspects(suspects: readonly PlacedSuspect[]): ReadonlySet<string> {
+  listTargetsHeldBySuspects(suspects: readonly PlacedSuspect[]): ReadonlySet<string> {
     return new Set(
       suspects
-        .filter(({ taskName, targetId }) => !this.losses.isProven(taskName, targetId))
+        .filter(({ taskName, targetId }) => !this.crashAttribution.isProven(taskName, targetId))
         .map(({ targetId }) => targetId),
     );
   }
@@ -248,8 +248,8 @@
    * @param targetId - The target.
    * @param reason - How the loss became known.
    */
-  loseTarget(targetId: string, reason: TargetLoss): void {
-    const lost = this.losses.note(targetId, reason);
+  handleLostTarget(targetId: string, reason: TargetLossReason): void {
+    const lost = this.crashAttribution.noteLoss(targetId, reason);
     this.sessions.remove(targetId, reason === 'lapsed');
     this.options.events.write('targetGone', { targetId, reason, runCount: lost.length });
     lost.forEach((run) => this.endRun(run, { end: 'lapsed', checkpoint: undefined }, reason));
@@ -259,17 +259,17 @@
 
   /** Stops the runs of jobs that are cancelled or have failed. */
   stopFinished(): void {
-    this.stops.stopFinished();
+    this.stopper.stopFinished();
   }
 
   /** Handles the crash of a target that was lost now or some seconds ago. */
-  private blame(targetId: string, isWithRack: boolean): void {
-    const blames = this.losses.blame(targetId, isWithRack);
-    blames.forEach((blame) => this.takeBlame(blame));
-    if (blames.length > 0) this.options.onChanged();
+  private attributeCrash(targetId: string, isWithRack: boolean): void {
+    const crashes = this.crashAttribution.attributeCrash(targetId, isWithRack);
+    crashes.forEach((crash) => this.applyCrash(crash));
+    if (crashes.length > 0) this.options.onChanged();
   }
 
-  private takeBlame({ run, crash }: RunBlame): void {
+  private applyCrash({ run, crash }: AttributedCrash): void {
     const { clock, telemetry } = this.options;
     const found = this.table.findTask(run.taskName);
     if (found === undefined || found.task.phase === 'done') return;
@@ -291,13 +291,13 @@
     return createTaskStart(key, found, { leaseUntilTargetMs, term: this.options.term });
   }
 
-  private takeRefusal(key: RunKey, reason: StartRefusal): void {
+  private handleRefusal(key: RunKey, reason: StartRefusal): void {
     if (reason === 'malformed') {
       this.endRun(key, { end: 'failed', checkpoint: undefined }, reason);
       return;
     }
     if (reason !== 'lease-past') this.health.noteRefusal(key.targetId);
-    this.takeBack(key);
+    this.returnToWaiting(key);
     this.options.onChanged();
   }
 
@@ -306,14 +306,14 @@
    * or leaves it to the next round: a task that is withdrawn at once would otherwise be placed
    * again at once.
    */
-  private takeBack(key: RunKey): void {
+  private returnToWaiting(key: RunKey): void {
     const found = this.table.findPlaced(key);
     if (found === undefined) return;
-    this.stops.stopGangMates(found.row, found.position);
+    this.stopper.stopGangMates(found.row, found.position);
     this.table.put(unplaceTask(found.row, found.position));
   }
 
-  private takeEnd(targetId: string, ended: EndedTaskReport): void {
+  private handleReportedEnd(targetId: string, ended: EndedTaskReport): void {
     const { taskName, run, end, checkpoint } = ended;
     this.endRun({ taskName, run, targetId }, { end, checkpoint }, 'reported');
   }
@@ -331,15 +331,17 @@
     if (runEnd.end === 'done') this.health.noteSuccess(targetId);
     if (runEnd.end === 'failed') this.health.noteFailure(targetId, jobId, taskName);
     const row = endRun(found.row, found.position, runEnd, clock.wallMs());
-    this.forgetDone(found.row, row);
+    this.forgetOrdersOfDoneTasks(found.row, row);
     this.table.put(row);
     if (isFinished(row) && !isFinished(found.row)) telemetry.noteFinished(row);
   }
 
   /** Forgets the orders of gang members that are done because another member has ended. */
-  private forgetDone(before: DurableJobRow, after: DurableJobRow): void {
+  private forgetOrdersOfDoneTasks(before: DurableJobRow, after: DurableJobRow): void {
     before.tasks
-      .filter(({ phase }, place) => phase === 'placed' && after.tasks[place]!.phase === 'done')
+      .filter(
+        ({ phase }, position) => phase === 'placed' && after.tasks[position]!.phase === 'done',
+      )
       .forEach((task) => this.orders.forget(nameTask(before, task)));
   }
 }
--- a/src/taskHome/createTaskStart.ts
+++ b/src/taskHome/createTaskStart.ts
@@ -3,7 +3,7 @@
 import type { RunKey } from './RunKey.js';
 
 /** Lease and term that a start carries from the home that sends it. */
-export interface StartTerms {
+export interface StartLease {
   /** End of the target's lease, on the target's own clock. */
   readonly leaseUntilTargetMs: number;
   readonly term: number;
@@ -19,7 +19,7 @@
 export function createTaskStart(
   { taskName, run }: RunKey,
   { row, position }: PlacedTask,
-  { leaseUntilTargetMs, term }: StartTerms,
+  { leaseUntilTargetMs, term }: StartLease,
 ): TaskStart {
   return {
     taskName,
--- a/tests/taskHome/RelayedTargets.test.ts
+++ b/tests/taskHome/RelayedTargets.test.ts
@@ -6,7 +6,7 @@
 import type { LeasedTargetAddress, LeasedTargetPort } from '../../src/targets/index.js';
 import { ManualClock } from '../../src/utils/index.js';
 
-const OWN_COUNT = 16;
+const DIRECT_COUNT = 16;
 /** CPU in cores with which an instance calls the maximum number of targets directly. */
 const ENOUGH_CORES = 1;
 const RELAYS: readonly PeerAddress[] = [
@@ -77,7 +77,7 @@
     clock = new ManualClock();
     events = new MemoryEventLog();
     targets = open(ENOUGH_CORES);
-    await Promise.all(Array.from({ length: OWN_COUNT }, (_t, number) => stop(number)));
+    await Promise.all(Array.from({ length: DIRECT_COUNT }, (_t, number) => stop(number)));
   });
 
   // Guards against a home that makes all calls itself under peak load: with 60 targets in a pool,
@@ -86,7 +86,7 @@
   it('calls the first targets itself and the others through relays', async () => {
     expect(new Set(callers())).toEqual(new Set(['home']));
     await Promise.all([20, 21, 22, 23, 24, 25, 26, 27].map(stop));
-    expect(new Set(callers().slice(OWN_COUNT))).toEqual(new Set(['relay-1', 'relay-2']));
+    expect(new Set(callers().slice(DIRECT_COUNT))).toEqual(new Set(['relay-1', 'relay-2']));
   });
 
   // Guards against a home on a tenth of a core whose calls alone take twice its CPU, so that leases
@@ -113,12 +113,12 @@
   // Guards against calls that wait for each other on the narrow link of a home, because each
   // carries everything that the platform lists about its target.
   it('sends a relay only the id and address of a target', async () => {
-    const told: PeerRequest[] = [];
+    const requests: PeerRequest[] = [];
     const home = new RelayedTargets({
       targets: log.createPort('home'),
       peers: {
         call: async (_peer, request) => {
-          told.push(request);
+          requests.push(request);
           return { type: 'target-answer', answer: { type: 'accepted' } };
         },
       },
@@ -130,7 +130,7 @@
     await home.stop(makeTarget(1), 'a.0.0.0', 1, 3);
     const listed = { ...makeTarget(2), pool: 'pages', rack: 'r1', labels: ['a', 'r1'] };
     await home.stop(listed, 'a.0.0.0', 1, 3);
-    expect(told.map((request) => request.type === 'call-target' && request.target)).toEqual([
+    expect(requests.map((request) => request.type === 'call-target' && request.target)).toEqual([
       makeTarget(2),
     ]);
   });
--- a/tests/taskHome/RunStops.test.ts
+++ b/tests/taskHome/RunStopper.test.ts
@@ -2,7 +2,7 @@
 import { cancelJob, createJobRow, placeTask } from '../../src/jobs/index.js';
 import { MemoryEventLog } from '../../src/logging/index.js';
 import { JobTable } from '../../src/taskHome/JobTable.js';
-import { RunStops } from '../../src/taskHome/RunStops.js';
+import { RunStopper } from '../../src/taskHome/RunStopper.js';
 import { TargetHealth } from '../../src/taskHome/TargetHealth.js';
 import { TaskProgress } from '../../src/taskHome/TaskProgress.js';
 import { ManualClock } from '../../src/utils/index.js';
@@ -49,7 +49,7 @@
   let orders: FakeOrders;
   let health: TargetHealth;
   let progress: TaskProgress;
-  let stops: RunStops;
+  let stopper: RunStopper;
 
   beforeEach(() => {
     clock = new ManualClock();
@@ -58,14 +58,14 @@
     orders = new FakeOrders();
     health = new TargetHealth({ clock, events });
     progress = new TaskProgress(clock);
-    stops = new RunStops({ table, orders, health, progress, events });
+    stopper = new RunStopper({ table, orders, health, progress, events });
   });
 
   it('stops the sent runs of a finished job and takes the unsent ones back', () => {
     const row = createJobRow(makeJob('a', [makeStep({ taskCount: 2 })]));
     table.add(cancelJob(placeTask(placeTask(row, 0, 't1'), 1, 't2'), 0));
     orders.unsent.add('a.0.0.1');
-    stops.stopFinished();
+    stopper.stopFinished();
     expect(orders.stopped).toEqual(['a.0.0.0']);
     expect(orders.forgotten).toEqual(['a.0.0.1']);
     expect(table.getActive('a')!.tasks.map(({ phase }) => phase)).toEqual(['placed', 'waiting']);
@@ -73,7 +73,7 @@
 
   it('does not stop the runs of an unfinished job', () => {
     table.add(placeTask(createJobRow(makeJob('a')), 0, 't1'));
-    stops.stopFinished();
+    stopper.stopFinished();
     expect(orders.stopped).toEqual([]);
   });
 
@@ -81,11 +81,11 @@
     table.add(placeTask(createJobRow(makeJob('a')), 0, 't1'));
     const running = [report('a.0.0.0', 30)];
     progress.note(running);
-    stops.stopStalled('t1', running);
+    stopper.stopStalled('t1', running);
     expect(orders.stopped).toEqual([]);
     clock.advance(STALLED_MS);
     progress.note(running);
-    stops.stopStalled('t1', running);
+    stopper.stopStalled('t1', running);
     expect(orders.stopped).toEqual(['a.0.0.0']);
     expect(health.isAvoided('t1')).toBe(true);
   });
@@ -97,7 +97,7 @@
     progress.note(running);
     clock.advance(STALLED_MS);
     progress.note(running);
-    stops.stopStalled('t1', running);
+    stopper.stopStalled('t1', running);
     expect(orders.stopped).toEqual([]);
     expect(health.isAvoided('t1')).toBe(false);
   });
@@ -105,7 +105,7 @@
   it('stops the other members of a gang', () => {
     const row = createJobRow(makeJob('a', [makeStep({ taskCount: 3, isGang: true })]));
     const placed = [0, 1, 2].reduce((before, position) => placeTask(before, position, 't1'), row);
-    stops.stopGangMates(placed, 1);
+    stopper.stopGangMates(placed, 1);
     expect(orders.stopped).toEqual(['a.0.0.0', 'a.0.0.2']);
   });
 
@@ -113,12 +113,12 @@
     const step = makeStep({ isLongRunning: true, maxUnavailableCount: 1 });
     table.add(placeTask(createJobRow(makeJob('a', [step])), 0, 't1'));
     progress.note([report('a.0.0.0', 40)]);
-    stops.evacuate(new Set(['t1']));
+    stopper.evacuate(new Set(['t1']));
     expect(orders.stopped).toEqual([]);
     progress.note([report('a.0.0.0', 100)]);
-    stops.evacuate(new Set(['t2']));
+    stopper.evacuate(new Set(['t2']));
     expect(orders.stopped).toEqual([]);
-    stops.evacuate(new Set(['t1']));
+    stopper.evacuate(new Set(['t1']));
     expect(orders.stopped).toEqual(['a.0.0.0']);
   });
 });
