--- a/src/fleetHome/FleetHome.ts
+++ b/src/fleetHome/FleetHome.ts
@@ -13,7 +13,7 @@
 } from '../systems/index.js';
 import type { Clock } from '../utils/index.js';
 import type { EndedTargets, FleetVm, VmFleetPort } from '../vms/index.js';
-import { EndedLifetimes } from './EndedLifetimes.js';
+import { LifetimeEndDetector } from './LifetimeEndDetector.js';
 import { isEmpty } from './isEmpty.js';
 import { encodePoolPeakRecord } from './PoolPeakRecord.js';
 import { PoolReporter } from './PoolReporter.js';
@@ -61,14 +61,14 @@
 }
 
 /** Pause between two passes, in milliseconds; a move takes 1.5 s, a load peak lasts 5 s. */
-const LOOK_EVERY_MS = 200;
+const PASS_INTERVAL_MS = 200;
 
 /** Time within which a VM must be empty to be moved, in milliseconds; tasks last 1 to 2 s. */
-const EMPTY_WITHIN_MS = 3_000;
+const MOVE_DRAIN_TIMEOUT_MS = 3_000;
 
-interface LeavingVm extends VmMove {
+interface DrainingMove extends VmMove {
   /** Monotonic time after which the move is abandoned. */
-  readonly untilMs: number;
+  readonly expiresAtMs: number;
 }
 
 /** Orders the moves and the maintenance of VMs. A term has one home of the fleet. */
@@ -80,9 +80,9 @@
   private readonly waves: WaveCoordinator;
 
   /** Planned moves whose VMs are being drained, by VM. */
-  private readonly leaving = new Map<string, LeavingVm>();
+  private readonly leaving = new Map<string, DrainingMove>();
 
-  private readonly lifetimes: EndedLifetimes;
+  private readonly lifetimeEndDetector: LifetimeEndDetector;
 
   private demands: readonly PoolDemand[] = [];
 
@@ -114,8 +114,8 @@
     this.storedKeptCounts = this.peaks.getKeptCounts();
     const onStaleTerm = (): void => this.options.onReplaced();
     this.orders = new VmOrders({ ...options, onStaleTerm });
-    const isAway = (vm: string): boolean => this.orders.isAway(vm);
-    this.lifetimes = new EndedLifetimes({ ...options, isAway });
+    const isAway = (vm: string): boolean => this.orders.hasActiveOrder(vm);
+    this.lifetimeEndDetector = new LifetimeEndDetector({ ...options, hasActiveOrder: isAway });
     this.waves = new WaveCoordinator({ ...options, orders: this.orders, records: waveRecords });
   }
 
@@ -132,23 +132,23 @@
   private async run(): Promise<void> {
     while (!this.isClosed) {
       // eslint-disable-next-line no-await-in-loop -- passes are sequential
-      await this.look().catch((thrown: unknown) => {
+      await this.runPass().catch((thrown: unknown) => {
         this.options.events.write('fleetLookFailed', { reason: String(thrown) });
       });
       // eslint-disable-next-line no-await-in-loop -- the pause separates two passes
-      await sleep(LOOK_EVERY_MS);
+      await sleep(PASS_INTERVAL_MS);
     }
   }
 
-  private async look(): Promise<void> {
+  private async runPass(): Promise<void> {
     const askedAtMs = this.options.clock.monotonicMs();
     const vms = await this.listVms();
     if (vms === undefined || this.isClosed) return;
-    this.orders.noteList(vms, askedAtMs);
+    this.orders.endCompletedOrders(vms, askedAtMs);
     void this.orders.settle();
     this.demands = await this.syncPools(vms, this.options.listPools());
     if (this.isClosed) return;
-    this.poolReporter.note(this.demands, vms, this.listHeld());
+    this.poolReporter.report(this.demands, vms, this.listHeldVms());
     this.demands.forEach((demand) => this.peaks.note(demand));
     this.storePeaks();
     await this.waves.advance(vms, this.getLoads());
@@ -159,7 +159,7 @@
     try {
       const vms = await this.options.port.listVms();
       this.listOutage.noteSuccess();
-      this.lifetimes.note(vms);
+      this.lifetimeEndDetector.compare(vms);
       return vms;
     } catch (thrown) {
       this.listOutage.noteFailure({ reason: String(thrown) });
@@ -188,8 +188,8 @@
     vms: readonly FleetVm[],
     pools: readonly string[],
   ): Promise<readonly PoolDemand[]> {
-    const drained = this.listDrained();
-    this.orders.noteLoads(this.options.clock.monotonicMs());
+    const drained = this.listDrainedVms();
+    this.orders.setLoadsTime(this.options.clock.monotonicMs());
     const answers = await Promise.all(pools.map((pool) => this.syncPool(vms, pool, drained)));
     return answers.filter((demand) => demand !== undefined);
   }
@@ -200,7 +200,7 @@
     drained: ReadonlySet<string>,
   ): Promise<PoolDemand | undefined> {
     const targets = FleetHome.listTargets(vms, pool, drained);
-    return this.options.syncPool(pool, targets, this.lifetimes.list());
+    return this.options.syncPool(pool, targets, this.lifetimeEndDetector.list());
   }
 
   private static listTargets(
@@ -220,10 +220,10 @@
     const nowMs = clock.monotonicMs();
     const moves = this.planMoves(vms);
     moves.forEach((move) => {
-      this.leaving.set(move.vm, { ...move, untilMs: nowMs + EMPTY_WITHIN_MS });
+      this.leaving.set(move.vm, { ...move, expiresAtMs: nowMs + MOVE_DRAIN_TIMEOUT_MS });
       events.write('vmLeaving', { vm: move.vm, fromPool: move.fromPool, toPool: move.toPool });
     });
-    const loads = moves.length === 0 ? this.getLoads() : await this.askLeaving(vms, moves);
+    const loads = moves.length === 0 ? this.getLoads() : await this.refreshLoads(vms, moves);
     await this.orderMoves(vms, loads);
   }
 
@@ -234,9 +234,9 @@
       demands: this.demands,
       vms,
       standbyPools: new Set(listStandbyPools()),
-      heldVms: this.listHeld(),
-      stayingVms: this.listStaying(),
-      arrivingByPool: this.countArriving(vms),
+      heldVms: this.listHeldVms(),
+      stayingVms: this.listStayingVms(),
+      arrivingByPool: this.countArrivingByPool(vms),
       yieldsKept: mechanisms.has('kept-yields-in-shortage'),
       ...(mechanisms.has('kept-by-peak') ? { keptCounts: this.peaks.getKeptCounts() } : {}),
     });
@@ -254,69 +254,71 @@
     loads: ReadonlyMap<string, TargetLoad>,
   ): Promise<void> {
     const nowMs = this.options.clock.monotonicMs();
-    const moves = this.listDueMoves();
+    const moves = this.getPoolsOfDueMoves();
     const empty = vms
       .filter(({ vm, state }) => state === 'up' && moves.has(vm))
       .filter((vm) => isEmpty(vm, loads));
     const ordered = empty.map(({ vm, targetId }) =>
-      this.orders.give({ type: 'move', vm, toPool: moves.get(vm)! }, targetId),
+      this.orders.issue({ type: 'move', vm, toPool: moves.get(vm)! }, targetId),
     );
     empty.forEach(({ vm }) => this.leaving.delete(vm));
     // A VM that is not empty in time stays in its pool and may be selected again.
     [...this.leaving]
-      .filter(([, { untilMs }]) => untilMs < nowMs)
+      .filter(([, { expiresAtMs: untilMs }]) => untilMs < nowMs)
       .forEach(([vm]) => this.leaving.delete(vm));
     await Promise.all(ordered);
   }
 
   /** Maps VMs whose move has to be ordered or repeated to the pools that they move to. */
-  private listDueMoves(): ReadonlyMap<string, string> {
+  private getPoolsOfDueMoves(): ReadonlyMap<string, string> {
     const { orders, leaving } = this;
-    const unanswered = orders.listUnansweredMoves().filter((order) => orders.isDueAgain(order));
+    const unanswered = orders.listUnansweredMoves().filter((order) => orders.canRepeat(order));
     return new Map([...leaving.values(), ...unanswered].map(({ vm, toPool }) => [vm, toPool]));
   }
 
   /** Requests the loads again once the VMs get no new tasks; only then do empty targets stay so. */
-  private async askLeaving(
+  private async refreshLoads(
     vms: readonly FleetVm[],
     moves: readonly VmMove[],
   ): Promise<ReadonlyMap<string, TargetLoad>> {
-    const left = new Set(moves.map(({ fromPool }) => fromPool));
-    const pools = this.options.listPools().filter((pool) => left.has(pool));
+    const sourcePools = new Set(moves.map(({ fromPool }) => fromPool));
+    const pools = this.options.listPools().filter((pool) => sourcePools.has(pool));
     return indexLoads(await this.syncPools(vms, pools));
   }
 
   /** Lists VMs that get no new task: a wave or a move drains them, or a move is unanswered. */
-  private listDrained(): ReadonlySet<string> {
-    const mayLeave = this.orders.listUnansweredMoves().map(({ vm }) => vm);
-    return new Set([...this.waves.listDrained(), ...this.leaving.keys(), ...mayLeave]);
+  private listDrainedVms(): ReadonlySet<string> {
+    const unanswered = this.orders.listUnansweredMoves().map(({ vm }) => vm);
+    return new Set([...this.waves.listDrainingVms(), ...this.leaving.keys(), ...unanswered]);
   }
 
   /** Lists VMs that must not be moved: drained, under an active order or under an earlier lease. */
-  private listHeld(): ReadonlySet<string> {
-    const away = this.orders.listAway().map(({ vm }) => vm);
-    return new Set([...this.listDrained(), ...away, ...this.orders.listTooEarly()]);
+  private listHeldVms(): ReadonlySet<string> {
+    const active = this.orders.listActiveOrders().map(({ vm }) => vm);
+    return new Set([...this.listDrainedVms(), ...active, ...this.orders.listLeasedVms()]);
   }
 
   /** Lists VMs under an earlier lease that are neither drained nor ordered and run tasks. */
-  private listStaying(): ReadonlySet<string> {
-    const drained = this.listDrained();
+  private listStayingVms(): ReadonlySet<string> {
+    const drained = this.listDrainedVms();
     return new Set(
-      this.orders.listTooEarly().filter((vm) => !drained.has(vm) && !this.orders.isAway(vm)),
+      this.orders
+        .listLeasedVms()
+        .filter((vm) => !drained.has(vm) && !this.orders.hasActiveOrder(vm)),
     );
   }
 
-  private countArriving(vms: readonly FleetVm[]): ReadonlyMap<string, number> {
+  private countArrivingByPool(vms: readonly FleetVm[]): ReadonlyMap<string, number> {
     const counts = new Map<string, number>();
-    const note = (pool: string): unknown => counts.set(pool, (counts.get(pool) ?? 0) + 1);
-    this.leaving.forEach(({ toPool }) => note(toPool));
-    this.orders.listAway().forEach((order) => {
-      if (order.type === 'move') note(order.toPool);
+    const increment = (pool: string): unknown => counts.set(pool, (counts.get(pool) ?? 0) + 1);
+    this.leaving.forEach(({ toPool }) => increment(toPool));
+    this.orders.listActiveOrders().forEach((order) => {
+      if (order.type === 'move') increment(order.toPool);
     });
     // A VM that an earlier home has moved is in transit without an active order of this home.
     vms
-      .filter(({ vm, state }) => state === 'moving' && !this.orders.isAway(vm))
-      .forEach(({ pool }) => note(pool));
+      .filter(({ vm, state }) => state === 'moving' && !this.orders.hasActiveOrder(vm))
+      .forEach(({ pool }) => increment(pool));
     return counts;
   }
 }
--- a/src/fleetHome/EndedLifetimes.ts
+++ b/src/fleetHome/LifetimeEndDetector.ts
@@ -3,20 +3,20 @@
 import type { Clock } from '../utils/index.js';
 import type { EndedTargets, FleetVm } from '../vms/index.js';
 
-/** Options of {@link EndedLifetimes}. */
-export interface EndedLifetimesOptions {
+/** Options of {@link LifetimeEndDetector}. */
+export interface LifetimeEndDetectorOptions {
   readonly clock: Clock;
   readonly events: EventLog;
   /** Tells whether an order for a VM is active. */
-  readonly isAway: (vm: string) => boolean;
+  readonly hasActiveOrder: (vm: string) => boolean;
 }
 
 /** How long an ended lifetime is reported to homes, in milliseconds; a takeover takes 2.5 s. */
-const TELL_ENDED_MS = 10_000;
+const ENDED_RETENTION_MS = 10_000;
 /** Number of crashes in one rack between two lists from which the rack is blamed, not the tasks. */
-const LOST_WITH_RACK = 3;
-/** Same as {@link LOST_WITH_RACK} for a rack in which no VM is up any more. */
-const LOST_AS_LAST = 2;
+const MIN_CRASHES_OF_RACK_LOSS = 3;
+/** Same as {@link MIN_CRASHES_OF_RACK_LOSS} for a rack in which no VM is up any more. */
+const MIN_CRASHES_WITHOUT_UP_VM = 2;
 
 /** A VM in the previous and in the current list. */
 interface VmChange {
@@ -24,37 +24,37 @@
   readonly now: FleetVm;
 }
 
-interface Ended {
+interface LifetimeEnd {
   /** Monotonic time at which the end was found. */
   readonly endedAtMs: number;
   readonly isCrash: boolean;
-  readonly isWithRack: boolean;
+  readonly isRackLoss: boolean;
 }
 
-function hasEnded({ before, now }: VmChange): boolean {
+function hasLifetimeEnded({ before, now }: VmChange): boolean {
   return before.targetId !== undefined && before.targetId !== now.targetId;
 }
 
 /** Whether the lists show a move or a maintenance: by the VM's state or by a change of its pool. */
-function looksOrdered({ before, now }: VmChange): boolean {
+function isMovedOrMaintained({ before, now }: VmChange): boolean {
   const isElsewhere = now.state === 'moving' || now.state === 'in-maintenance';
   return isElsewhere || before.state !== 'up' || before.pool !== now.pool;
 }
 
 /** Detects ended lifetimes and crashes by comparing successive lists of VMs. */
-export class EndedLifetimes {
-  private readonly options: EndedLifetimesOptions;
+export class LifetimeEndDetector {
+  private readonly options: LifetimeEndDetectorOptions;
 
   /** VMs of the latest list, by name. */
-  private readonly known = new Map<string, FleetVm>();
+  private readonly latestVms = new Map<string, FleetVm>();
 
-  private readonly ended = new Map<string, Ended>();
+  private readonly ended = new Map<string, LifetimeEnd>();
 
   /**
    * Creates a detector that has seen no list.
    * @param options - Clock, event log and active orders.
    */
-  constructor(options: EndedLifetimesOptions) {
+  constructor(options: LifetimeEndDetectorOptions) {
     this.options = options;
   }
 
@@ -62,14 +62,14 @@
    * Compares a list of VMs with the previous one.
    * @param vms - The VMs.
    */
-  note(vms: readonly FleetVm[]): void {
+  compare(vms: readonly FleetVm[]): void {
     const changes = vms.flatMap((now): readonly VmChange[] => {
-      const before = this.known.get(now.vm);
-      this.known.set(now.vm, now);
+      const before = this.latestVms.get(now.vm);
+      this.latestVms.set(now.vm, now);
       return before === undefined ? [] : [{ before, now }];
     });
     changes.forEach((change) => this.report(change));
-    this.noteEnds(changes.filter(hasEnded), vms);
+    this.recordEnds(changes.filter(hasLifetimeEnded), vms);
   }
 
   /**
@@ -79,14 +79,14 @@
   list(): EndedTargets {
     const nowMs = this.options.clock.monotonicMs();
     [...this.ended]
-      .filter(([, { endedAtMs }]) => nowMs - endedAtMs > TELL_ENDED_MS)
+      .filter(([, { endedAtMs }]) => nowMs - endedAtMs > ENDED_RETENTION_MS)
       .forEach(([targetId]) => this.ended.delete(targetId));
-    const list = (isListed: (end: Ended) => boolean): readonly string[] =>
+    const list = (isListed: (end: LifetimeEnd) => boolean): readonly string[] =>
       [...this.ended].filter(([, end]) => isListed(end)).map(([targetId]) => targetId);
     return {
       endedTargets: [...this.ended.keys()],
       crashedTargets: list(({ isCrash }) => isCrash),
-      lostWithRack: list(({ isWithRack }) => isWithRack),
+      lostWithRack: list(({ isRackLoss: isWithRack }) => isWithRack),
     };
   }
 
@@ -94,20 +94,22 @@
    * Records ended lifetimes and classifies them. Crashes that come from the loss of a rack or of
    * power are marked, so that tasks whose targets crash repeatedly are not given up for them.
    */
-  private noteEnds(changes: readonly VmChange[], vms: readonly FleetVm[]): void {
+  private recordEnds(changes: readonly VmChange[], vms: readonly FleetVm[]): void {
     const endedAtMs = this.options.clock.monotonicMs();
     const upRacks = new Set(vms.filter(({ state }) => state === 'up').map(({ rack }) => rack));
-    const unordered = changes.filter(
-      (change) => !looksOrdered(change) && !this.options.isAway(change.now.vm),
+    const crashes = changes.filter(
+      (change) => !isMovedOrMaintained(change) && !this.options.hasActiveOrder(change.now.vm),
     );
-    const byRack = groupBy(unordered, ({ before }) => before.rack);
+    const crashesByRack = groupBy(crashes, ({ before }) => before.rack);
     changes.forEach((change) => {
       const { rack, targetId } = change.before;
-      const lostWithRack = rack === undefined ? 1 : (byRack.get(rack)?.length ?? 0);
-      const enough = upRacks.has(rack) ? LOST_WITH_RACK : LOST_AS_LAST;
-      const isCrash = unordered.includes(change);
-      const isWithRack = isCrash && lostWithRack >= enough;
-      this.ended.set(targetId!, { endedAtMs, isCrash, isWithRack });
+      const rackCrashCount = rack === undefined ? 1 : (crashesByRack.get(rack)?.length ?? 0);
+      const minCrashCount = upRacks.has(rack)
+        ? MIN_CRASHES_OF_RACK_LOSS
+        : MIN_CRASHES_WITHOUT_UP_VM;
+      const isCrash = crashes.includes(change);
+      const isRackLoss = isCrash && rackCrashCount >= minCrashCount;
+      this.ended.set(targetId!, { endedAtMs, isCrash, isRackLoss: isRackLoss });
     });
   }
 
@@ -115,7 +117,7 @@
     const { vm, pool, state, targetId } = now;
     const { pool: poolBefore, state: stateBefore, targetId: targetIdBefore } = before;
     if (poolBefore === pool && stateBefore === state && targetIdBefore === targetId) return;
-    const isOrdered = this.options.isAway(vm);
+    const isOrdered = this.options.hasActiveOrder(vm);
     this.options.events.write('vmChanged', { vm, pool, state, targetId, stateBefore, isOrdered });
   }
 }
--- a/src/fleetHome/PoolReporter.ts
+++ b/src/fleetHome/PoolReporter.ts
@@ -10,7 +10,7 @@
 }
 
 /** Interval between two reports, in milliseconds; a load peak lasts several seconds. */
-const TELL_EVERY_MS = 1_000;
+const REPORT_INTERVAL_MS = 1_000;
 const MILLICORES_PER_CORE = 1_000;
 
 const toCores = (millicores: number): number => Math.round(millicores / MILLICORES_PER_CORE);
@@ -19,7 +19,7 @@
 export class PoolReporter {
   private readonly options: PoolReporterOptions;
 
-  private toldAtMs = Number.NEGATIVE_INFINITY;
+  private reportedAtMs = Number.NEGATIVE_INFINITY;
 
   /**
    * Creates a reporter that has logged nothing.
@@ -35,25 +35,25 @@
    * @param vms - The VMs as listed.
    * @param heldVms - VMs that get no new tasks or must not be moved.
    */
-  note(
+  report(
     demands: readonly PoolDemand[],
     vms: readonly FleetVm[],
     heldVms: ReadonlySet<string>,
   ): void {
     const { events, clock } = this.options;
     const nowMs = clock.monotonicMs();
-    if (nowMs - this.toldAtMs < TELL_EVERY_MS) return;
-    this.toldAtMs = nowMs;
+    if (nowMs - this.reportedAtMs < REPORT_INTERVAL_MS) return;
+    this.reportedAtMs = nowMs;
     demands.forEach((demand) => {
-      const ofPool = vms.filter(({ pool }) => pool === demand.pool);
+      const poolVms = vms.filter(({ pool }) => pool === demand.pool);
       const usedMillicores = demand.targets
         .map(({ usedCpuMillicores }) => usedCpuMillicores)
         .reduce((sum, millicores) => sum + millicores, 0);
       events.write('poolSeen', {
         pool: demand.pool,
-        upCount: ofPool.filter(({ state }) => state === 'up').length,
-        movingCount: ofPool.filter(({ state }) => state === 'moving').length,
-        heldCount: ofPool.filter(({ vm }) => heldVms.has(vm)).length,
+        upCount: poolVms.filter(({ state }) => state === 'up').length,
+        movingCount: poolVms.filter(({ state }) => state === 'moving').length,
+        heldCount: poolVms.filter(({ vm }) => heldVms.has(vm)).length,
         neededCores: toCores(demand.neededCpuMillicores),
         waitingCores: toCores(demand.waitingCpuMillicores),
         usedCores: toCores(usedMillicores),
--- a/src/fleetHome/RecentOrders.ts
+++ b/src/fleetHome/RecentOrders.ts
@@ -16,7 +16,7 @@
 interface RecentOrder {
   readonly wave: number | undefined;
   /** Latest monotonic time at which the order may have been issued. */
-  readonly givenAtMs: number;
+  readonly issuedAtMs: number;
 }
 
 /** Safety margin added to the order lease, in milliseconds. */
@@ -37,7 +37,7 @@
   private readonly recent: Map<string, RecentOrder>;
 
   /** Monotonic end of the lease on each VM that an earlier holder has ordered. */
-  private readonly heldUntilMs: ReadonlyMap<string, number>;
+  private readonly leasedUntilMs: ReadonlyMap<string, number>;
 
   private isSettling = false;
 
@@ -50,16 +50,16 @@
     const nowMs = options.clock.monotonicMs();
     const recent = options.orderRecords.filter(({ isSettled }) => isSettled !== true);
     this.recent = new Map(recent.map(({ vm, wave }) => [vm, { wave, givenAtMs: nowMs }]));
-    this.heldUntilMs = new Map(recent.map(({ vm }) => [vm, nowMs + this.leaseMs]));
+    this.leasedUntilMs = new Map(recent.map(({ vm }) => [vm, nowMs + this.leaseMs]));
   }
 
   /**
    * Lists the VMs that must not be ordered because an earlier holder's lease is still running.
    * @returns The names of the VMs.
    */
-  listHeld(): readonly string[] {
+  listLeasedVms(): readonly string[] {
     const nowMs = this.options.clock.monotonicMs();
-    return [...this.heldUntilMs].filter(([, atMs]) => nowMs < atMs).map(([vm]) => vm);
+    return [...this.leasedUntilMs].filter(([, atMs]) => nowMs < atMs).map(([vm]) => vm);
   }
 
   /**
@@ -67,8 +67,8 @@
    * @param vm - The VM.
    * @returns Whether the VM must not be ordered.
    */
-  isHeld(vm: string): boolean {
-    return this.options.clock.monotonicMs() < (this.heldUntilMs.get(vm) ?? 0);
+  isLeased(vm: string): boolean {
+    return this.options.clock.monotonicMs() < (this.leasedUntilMs.get(vm) ?? 0);
   }
 
   /**
@@ -76,8 +76,8 @@
    * again after the platform call has ended.
    * @param order - The order as stored.
    */
-  note({ vm, wave }: VmOrderRecord): void {
-    this.recent.set(vm, { wave, givenAtMs: this.options.clock.monotonicMs() });
+  recordOrder({ vm, wave }: VmOrderRecord): void {
+    this.recent.set(vm, { wave, issuedAtMs: this.options.clock.monotonicMs() });
   }
 
   /**
@@ -86,19 +86,21 @@
    * @returns Resolves once the records are stored or the write has failed; the next call retries.
    */
   async settle(): Promise<void> {
-    const overMs = this.options.clock.monotonicMs() - this.leaseMs;
-    const over = [...this.recent].filter(([, { givenAtMs }]) => givenAtMs < overMs);
-    if (over.length === 0 || this.isSettling) return;
+    const expiredBeforeMs = this.options.clock.monotonicMs() - this.leaseMs;
+    const expired = [...this.recent].filter(
+      ([, { issuedAtMs: givenAtMs }]) => givenAtMs < expiredBeforeMs,
+    );
+    if (expired.length === 0 || this.isSettling) return;
     this.isSettling = true;
     try {
       await this.options.store(
-        over.map(([vm, { wave }]) =>
+        expired.map(([vm, { wave }]) =>
           wave === undefined
             ? encodeVmOrderRemoval(vm)
             : encodeVmOrderRecord({ vm, wave, isSettled: true }),
         ),
       );
-      over
+      expired
         .filter(([vm, order]) => this.recent.get(vm) === order)
         .forEach(([vm]) => this.recent.delete(vm));
     } catch {
--- a/src/fleetHome/VmOrders.ts
+++ b/src/fleetHome/VmOrders.ts
@@ -31,12 +31,9 @@
   'accepted' | VmOrderRefusal | 'unanswered' | 'too-early' | 'unrecorded' | 'outdated';
 
 /** Refusals after which neither this order nor an earlier copy of it will be carried out. */
-export const NEVER_CARRIED_OUT: ReadonlySet<VmOrderOutcome> = new Set([
-  'not-in-wave',
-  'impossible',
-]);
+export const FINAL_REFUSALS: ReadonlySet<VmOrderOutcome> = new Set(['not-in-wave', 'impossible']);
 
-interface Away {
+interface ActiveOrder {
   readonly order: VmOrder;
   readonly targetIdBefore: string | undefined;
   readonly orderedAtMs: number;
@@ -52,12 +49,12 @@
  */
 const LOADS_OUTDATED_AFTER_MS = 2_000;
 /** Time after an order during which the list of VMs may not yet reflect it, in milliseconds. */
-const SETTLE_MS = 700;
+const LIST_LAG_MS = 700;
 /**
  * Time after an order by which the list shows its effect, in milliseconds: the VM is not up or has
  * another lifetime. A VM that the list then shows unchanged has not been changed yet.
  */
-const UNCHANGED_AFTER_MS = 1_500;
+const EFFECT_LISTED_AFTER_MS = 1_500;
 
 /**
  * Issues orders for VMs and tracks the active ones. An order is active from before it is sent
@@ -71,10 +68,10 @@
 export class VmOrders {
   private readonly options: VmOrdersOptions;
 
-  private readonly away = new Map<string, Away>();
+  private readonly activeOrders = new Map<string, ActiveOrder>();
 
   /** Waves of the maintenance orders of earlier holders whose result is unknown, by VM. */
-  private readonly inDoubt: Map<string, number>;
+  private readonly unconfirmed: Map<string, number>;
 
   private readonly recent: RecentOrders;
 
@@ -88,7 +85,7 @@
   constructor(options: VmOrdersOptions) {
     this.options = options;
     this.recent = new RecentOrders(options);
-    this.inDoubt = new Map(
+    this.unconfirmed = new Map(
       options.orderRecords.flatMap(({ vm, wave }) => (wave === undefined ? [] : [[vm, wave]])),
     );
   }
@@ -97,8 +94,8 @@
    * Lists the active orders.
    * @returns The orders.
    */
-  listAway(): readonly VmOrder[] {
-    return [...this.away.values()].map(({ order }) => order);
+  listActiveOrders(): readonly VmOrder[] {
+    return [...this.activeOrders.values()].map(({ order }) => order);
   }
 
   /**
@@ -106,8 +103,8 @@
    * @param vm - The VM.
    * @returns Whether an order for it is active.
    */
-  isAway(vm: string): boolean {
-    return this.away.has(vm);
+  hasActiveOrder(vm: string): boolean {
+    return this.activeOrders.has(vm);
   }
 
   /**
@@ -115,7 +112,7 @@
    * @returns The active moves without an answer.
    */
   listUnansweredMoves(): readonly VmMoveOrder[] {
-    return [...this.away.values()]
+    return [...this.activeOrders.values()]
       .filter(({ acceptedAtMs }) => acceptedAtMs === undefined)
       .map(({ order }) => order)
       .filter((order) => order.type === 'move');
@@ -127,17 +124,17 @@
    * @param order - The order.
    * @returns Whether the order can be repeated.
    */
-  isDueAgain({ vm }: VmOrder): boolean {
-    const orderedAtMs = this.away.get(vm)?.orderedAtMs ?? Infinity;
-    return this.options.clock.monotonicMs() - orderedAtMs >= UNCHANGED_AFTER_MS;
+  canRepeat({ vm }: VmOrder): boolean {
+    const orderedAtMs = this.activeOrders.get(vm)?.orderedAtMs ?? Infinity;
+    return this.options.clock.monotonicMs() - orderedAtMs >= EFFECT_LISTED_AFTER_MS;
   }
 
   /**
    * Lists the VMs that must not be ordered because an earlier holder's lease is still running.
    * @returns The names of the VMs.
    */
-  listTooEarly(): readonly string[] {
-    return this.recent.listHeld();
+  listLeasedVms(): readonly string[] {
+    return this.recent.listLeasedVms();
   }
 
   /**
@@ -146,8 +143,8 @@
    * @param wave - Number of the wave.
    * @returns The names of the VMs, including VMs whose maintenance is done.
    */
-  listInDoubt(wave: number): readonly string[] {
-    return [...this.inDoubt].filter(([, ofWave]) => ofWave === wave).map(([vm]) => vm);
+  listUnconfirmedVms(wave: number): readonly string[] {
+    return [...this.unconfirmed].filter(([, ofWave]) => ofWave === wave).map(([vm]) => vm);
   }
 
   /**
@@ -162,7 +159,7 @@
    * Sets the time of the loads on which the following orders are based.
    * @param askedAtMs - Monotonic time at which the loads were requested.
    */
-  noteLoads(askedAtMs: number): void {
+  setLoadsTime(askedAtMs: number): void {
     this.loadsAskedAtMs = askedAtMs;
   }
 
@@ -171,13 +168,13 @@
    * @param vms - The VMs as listed.
    * @param askedAtMs - Monotonic time at which the list was requested.
    */
-  noteList(vms: readonly FleetVm[], askedAtMs: number): void {
+  endCompletedOrders(vms: readonly FleetVm[], askedAtMs: number): void {
     vms.forEach(({ vm, state, targetId }) => {
-      const away = this.away.get(vm);
-      if (away === undefined || askedAtMs - away.orderedAtMs < SETTLE_MS) return;
-      const hasChanged = targetId === undefined || targetId !== away.targetIdBefore;
-      const isBack = hasChanged || VmOrders.hasChangedNothing(away, askedAtMs);
-      if (state === 'up' && isBack) this.away.delete(vm);
+      const active = this.activeOrders.get(vm);
+      if (active === undefined || askedAtMs - active.orderedAtMs < LIST_LAG_MS) return;
+      const hasChanged = targetId === undefined || targetId !== active.targetIdBefore;
+      const isBack = hasChanged || VmOrders.hasNoEffect(active, askedAtMs);
+      if (state === 'up' && isBack) this.activeOrders.delete(vm);
     });
   }
 
@@ -186,8 +183,8 @@
    * already been carried out, which a new home may repeat. The VM's lifetime then stays the same,
    * and the order would otherwise stay active forever.
    */
-  private static hasChangedNothing({ acceptedAtMs }: Away, askedAtMs: number): boolean {
-    return acceptedAtMs !== undefined && askedAtMs - acceptedAtMs >= UNCHANGED_AFTER_MS;
+  private static hasNoEffect({ acceptedAtMs }: ActiveOrder, askedAtMs: number): boolean {
+    return acceptedAtMs !== undefined && askedAtMs - acceptedAtMs >= EFFECT_LISTED_AFTER_MS;
   }
 
   /**
@@ -197,18 +194,18 @@
    * @param targetId - Lifetime of the target on the VM in the latest list.
    * @returns Outcome of the order.
    */
-  async give(order: VmOrder, targetId: string | undefined): Promise<VmOrderOutcome> {
+  async issue(order: VmOrder, targetId: string | undefined): Promise<VmOrderOutcome> {
     const orderedAtMs = this.options.clock.monotonicMs();
-    if (this.recent.isHeld(order.vm)) return 'too-early';
-    const before = this.away.get(order.vm);
+    if (this.recent.isLeased(order.vm)) return 'too-early';
+    const before = this.activeOrders.get(order.vm);
     const targetIdBefore = before?.targetIdBefore ?? targetId;
-    const away: Away = { order, targetIdBefore, orderedAtMs };
-    this.away.set(order.vm, away);
+    const active: ActiveOrder = { order, targetIdBefore, orderedAtMs };
+    this.activeOrders.set(order.vm, active);
     const record = { vm: order.vm, wave: order.type === 'maintain' ? order.wave : undefined };
-    this.recent.note(record);
-    const outcome = (await this.record(record, orderedAtMs)) ?? (await this.send(order));
-    this.recent.note(record);
-    this.noteOutcome(away, outcome, before);
+    this.recent.recordOrder(record);
+    const outcome = (await this.storeRecord(record, orderedAtMs)) ?? (await this.send(order));
+    this.recent.recordOrder(record);
+    this.applyOutcome(active, outcome, before);
     this.report(order, outcome);
     return outcome;
   }
@@ -218,14 +215,18 @@
    * without an answer may still be carried out, so it stays active. Otherwise another VM would be
    * ordered in its place, which is one VM too many.
    */
-  private noteOutcome(away: Away, outcome: VmOrderOutcome, before: Away | undefined): void {
-    const { vm } = away.order;
+  private applyOutcome(
+    active: ActiveOrder,
+    outcome: VmOrderOutcome,
+    before: ActiveOrder | undefined,
+  ): void {
+    const { vm } = active.order;
     if (outcome === 'unanswered') return;
-    if (outcome === 'accepted' || NEVER_CARRIED_OUT.has(outcome)) this.inDoubt.delete(vm);
+    if (outcome === 'accepted' || FINAL_REFUSALS.has(outcome)) this.unconfirmed.delete(vm);
     if (outcome === 'accepted') {
-      this.away.set(vm, { ...away, acceptedAtMs: this.options.clock.monotonicMs() });
-    } else if (before === undefined || NEVER_CARRIED_OUT.has(outcome)) this.away.delete(vm);
-    else this.away.set(vm, before);
+      this.activeOrders.set(vm, { ...active, acceptedAtMs: this.options.clock.monotonicMs() });
+    } else if (before === undefined || FINAL_REFUSALS.has(outcome)) this.activeOrders.delete(vm);
+    else this.activeOrders.set(vm, before);
   }
 
   /**
@@ -234,7 +235,7 @@
    * A pool's home keeps tasks off a VM for 3 s after it has reported the VM as empty. A slow store
    * or a slow processor may take longer, and a late order would end new tasks on the VM.
    */
-  private async record(
+  private async storeRecord(
     record: VmOrderRecord,
     orderedAtMs: number,
   ): Promise<'unrecorded' | 'outdated' | undefined> {
--- a/src/fleetHome/WaveCoordinator.ts
+++ b/src/fleetHome/WaveCoordinator.ts
@@ -5,7 +5,7 @@
 import type { FleetVm } from '../vms/index.js';
 import { estimateLeftMs } from './estimateLeftMs.js';
 import { isEmpty } from './isEmpty.js';
-import { NEVER_CARRIED_OUT, type VmOrders } from './VmOrders.js';
+import { FINAL_REFUSALS, type VmOrders } from './VmOrders.js';
 import type { WaveOrder } from './WaveOrder.js';
 import { encodeWaveRecord, type WaveRecord, type WaveStatus } from './WaveRecord.js';
 import { WaveStepTimer } from './WaveStepTimer.js';
@@ -51,14 +51,16 @@
   constructor(options: WaveCoordinatorOptions) {
     this.options = options;
     this.stepTimer = new WaveStepTimer(options.clock);
-    options.records.forEach((record) => this.progress.set(record.wave, this.takeOver(record)));
+    options.records.forEach((record) =>
+      this.progress.set(record.wave, this.restoreProgress(record)),
+    );
   }
 
   /**
    * Lists the VMs that a wave drains, which get no new tasks.
    * @returns The names of the VMs.
    */
-  listDrained(): ReadonlySet<string> {
+  listDrainingVms(): ReadonlySet<string> {
     return new Set(this.draining.keys());
   }
 
@@ -69,7 +71,9 @@
    */
   async advance(vms: readonly FleetVm[], loads: ReadonlyMap<string, TargetLoad>): Promise<void> {
     const orders = this.options.listWaveOrders();
-    this.stepTimer.noteOut(new Set(orders.flatMap((order) => [...this.listInProgress(order)])));
+    this.stepTimer.endStepsExcept(
+      new Set(orders.flatMap((order) => [...this.listInProgress(order)])),
+    );
     await Promise.all(orders.map((order) => this.advanceWave(order, vms, loads)));
   }
 
@@ -79,14 +83,14 @@
     loads: ReadonlyMap<string, TargetLoad>,
   ): Promise<void> {
     if (this.getProgress(order).status === 'running') {
-      await this.takeDownEmpty(order, vms, loads);
+      await this.maintainEmptyVms(order, vms, loads);
       this.drainNext(order, vms, loads);
-      await this.finish(order, vms);
+      await this.completeIfDone(order, vms);
     }
     await this.publish(order.wave);
   }
 
-  private takeOver(record: WaveRecord): WaveProgress {
+  private restoreProgress(record: WaveRecord): WaveProgress {
     const { clock } = this.options;
     const { wave, doneVms, status } = record;
     const leftMs = estimateLeftMs(record, clock.wallMs());
@@ -97,9 +101,9 @@
     const known = this.progress.get(wave);
     if (known !== undefined) return known;
     const deadlineMs = this.options.clock.monotonicMs() + withinMs;
-    const begun: WaveProgress = { wave, deadlineMs, doneVms: [], status: 'running' };
-    this.progress.set(wave, begun);
-    return begun;
+    const started: WaveProgress = { wave, deadlineMs, doneVms: [], status: 'running' };
+    this.progress.set(wave, started);
+    return started;
   }
 
   private drainNext(
@@ -109,10 +113,10 @@
   ): void {
     const { clock } = this.options;
     const progress = this.progress.get(order.wave)!;
-    const hasObserved = this.options.mechanisms.has('observed-wave-steps');
+    const usesMeasuredSteps = this.options.mechanisms.has('observed-wave-steps');
     this.drain(
       order,
-      this.listInDoubt(order, vms)
+      this.listUnconfirmed(order, vms)
         .filter(({ vm, state }) => state === 'up' && !this.draining.has(vm))
         .map(({ vm }) => vm),
     );
@@ -122,7 +126,7 @@
       loads,
       inProgress: this.listInProgress(order),
       nowMs: clock.monotonicMs(),
-      stepMs: hasObserved ? this.stepTimer.expectedMs : undefined,
+      stepMs: usesMeasuredSteps ? this.stepTimer.expectedMs : undefined,
     });
     this.drain(order, next);
   }
@@ -131,14 +135,14 @@
     const { doneVms } = this.progress.get(wave)!;
     vms.forEach((vm) => {
       this.draining.set(vm, wave);
-      this.stepTimer.begin(vm);
+      this.stepTimer.startStep(vm);
       this.options.events.write('vmDraining', { vm, wave, doneCount: doneVms.length });
     });
   }
 
   private listInProgress({ wave }: WaveOrder): ReadonlySet<string> {
-    const drained = [...this.draining].filter(([, ofWave]) => ofWave === wave).map(([vm]) => vm);
-    return new Set([...drained, ...this.listDown(wave)]);
+    const draining = [...this.draining].filter(([, ofWave]) => ofWave === wave).map(([vm]) => vm);
+    return new Set([...draining, ...this.listVmsUnderMaintenance(wave)]);
   }
 
   /**
@@ -149,52 +153,56 @@
    * the list, or its stored order is recent, or the order got no answer and may still be carried
    * out.
    */
-  private listMaybeDown(order: WaveOrder, vms: readonly FleetVm[]): ReadonlySet<string> {
+  private listPossiblyDownVms(order: WaveOrder, vms: readonly FleetVm[]): ReadonlySet<string> {
     const ofWave = new Set(order.vms);
     const listed = vms.filter(({ state }) => state === 'in-maintenance').map(({ vm }) => vm);
-    const ordered = this.options.orders.listTooEarly();
-    const foreign = [...listed, ...ordered].filter((vm) => ofWave.has(vm));
-    const inDoubt = this.listInDoubt(order, vms).map(({ vm }) => vm);
-    return new Set([...this.listDown(order.wave), ...foreign, ...inDoubt]);
+    const leased = this.options.orders.listLeasedVms();
+    const downByEarlierHomes = [...listed, ...leased].filter((vm) => ofWave.has(vm));
+    const unconfirmed = this.listUnconfirmed(order, vms).map(({ vm }) => vm);
+    return new Set([
+      ...this.listVmsUnderMaintenance(order.wave),
+      ...downByEarlierHomes,
+      ...unconfirmed,
+    ]);
   }
 
   /** Lists the VMs whose maintenance was ordered by an earlier home with unknown result. */
-  private listInDoubt({ wave }: WaveOrder, vms: readonly FleetVm[]): readonly FleetVm[] {
+  private listUnconfirmed({ wave }: WaveOrder, vms: readonly FleetVm[]): readonly FleetVm[] {
     const done = new Set(this.progress.get(wave)!.doneVms);
-    const inDoubt = new Set(this.options.orders.listInDoubt(wave));
-    return vms.filter(({ vm }) => inDoubt.has(vm) && !done.has(vm));
+    const unconfirmed = new Set(this.options.orders.listUnconfirmedVms(wave));
+    return vms.filter(({ vm }) => unconfirmed.has(vm) && !done.has(vm));
   }
 
-  private listDown(wave: number): readonly string[] {
+  private listVmsUnderMaintenance(wave: number): readonly string[] {
     return this.options.orders
-      .listAway()
+      .listActiveOrders()
       .filter((order) => order.type === 'maintain' && order.wave === wave)
       .map(({ vm }) => vm);
   }
 
-  private async takeDownEmpty(
+  private async maintainEmptyVms(
     order: WaveOrder,
     vms: readonly FleetVm[],
     loads: ReadonlyMap<string, TargetLoad>,
   ): Promise<void> {
-    const maybeDown = this.listMaybeDown(order, vms);
-    const freeCount = Math.max(0, order.maxDownCount - maybeDown.size);
+    const possiblyDown = this.listPossiblyDownVms(order, vms);
+    const freeCount = Math.max(0, order.maxDownCount - possiblyDown.size);
     const ready = vms
       .filter(({ vm }) => this.draining.get(vm) === order.wave)
       .filter((vm) => vm.state === 'up' && isEmpty(vm, loads));
-    const counted = ready.filter(({ vm }) => maybeDown.has(vm));
-    const further = ready.filter(({ vm }) => !maybeDown.has(vm)).slice(0, freeCount);
+    const counted = ready.filter(({ vm }) => possiblyDown.has(vm));
+    const further = ready.filter(({ vm }) => !possiblyDown.has(vm)).slice(0, freeCount);
     const outcomes = await Promise.all(
-      [...counted, ...further].map((vm) => this.takeDown(order, vm)),
+      [...counted, ...further].map((vm) => this.orderMaintenance(order, vm)),
     );
     if (outcomes.includes(true)) await this.store(order.wave);
   }
 
   /** Orders the maintenance of a VM; returns whether the wave has no more to do for this VM. */
-  private async takeDown({ wave }: WaveOrder, { vm, targetId }: FleetVm): Promise<boolean> {
+  private async orderMaintenance({ wave }: WaveOrder, { vm, targetId }: FleetVm): Promise<boolean> {
     const { orders } = this.options;
-    const outcome = await orders.give({ type: 'maintain', vm, wave }, targetId);
-    if (outcome !== 'accepted' && !NEVER_CARRIED_OUT.has(outcome)) return false;
+    const outcome = await orders.issue({ type: 'maintain', vm, wave }, targetId);
+    if (outcome !== 'accepted' && !FINAL_REFUSALS.has(outcome)) return false;
     this.draining.delete(vm);
     const progress = this.progress.get(wave)!;
     this.progress.set(wave, { ...progress, doneVms: [...progress.doneVms, vm] });
@@ -202,7 +210,10 @@
   }
 
   /** Completes a wave once the maintenance of each of its VMs that are still listed has begun. */
-  private async finish({ wave, vms: waveVms }: WaveOrder, vms: readonly FleetVm[]): Promise<void> {
+  private async completeIfDone(
+    { wave, vms: waveVms }: WaveOrder,
+    vms: readonly FleetVm[],
+  ): Promise<void> {
     const progress = this.progress.get(wave)!;
     const done = new Set(progress.doneVms);
     const listed = new Set(vms.map(({ vm }) => vm));
--- a/src/fleetHome/WaveStepTimer.ts
+++ b/src/fleetHome/WaveStepTimer.ts
@@ -2,7 +2,7 @@
 import { type Clock, followMean } from '../utils/index.js';
 
 /** Weight of the latest step in the moving mean; the last few steps dominate. */
-const LEARNING_RATE = 0.2;
+const SMOOTHING_FACTOR = 0.2;
 /** Factor on the mean, so that a step that takes longer does not make the wave late. */
 const MARGIN_FACTOR = 1.5;
 
@@ -10,7 +10,7 @@
 export class WaveStepTimer {
   private readonly clock: Clock;
 
-  private readonly begunAtMs = new Map<string, number>();
+  private readonly startedAtMs = new Map<string, number>();
 
   private meanMs: number | undefined;
 
@@ -31,22 +31,22 @@
    * Starts the step of a VM, which gets no new tasks from now on.
    * @param vm - The VM.
    */
-  begin(vm: string): void {
-    this.begunAtMs.set(vm, this.clock.monotonicMs());
+  startStep(vm: string): void {
+    this.startedAtMs.set(vm, this.clock.monotonicMs());
   }
 
   /**
    * Ends the steps of all VMs that are back.
    * @param outVms - VMs that are still being drained or are down.
    */
-  noteOut(outVms: ReadonlySet<string>): void {
+  endStepsExcept(outVms: ReadonlySet<string>): void {
     const nowMs = this.clock.monotonicMs();
-    [...this.begunAtMs]
+    [...this.startedAtMs]
       .filter(([vm]) => !outVms.has(vm))
       .forEach(([vm, atMs]) => {
-        const tookMs = nowMs - atMs;
-        this.meanMs = followMean(this.meanMs ?? tookMs, tookMs, LEARNING_RATE);
-        this.begunAtMs.delete(vm);
+        const stepMs = nowMs - atMs;
+        this.meanMs = followMean(this.meanMs ?? stepMs, stepMs, SMOOTHING_FACTOR);
+        this.startedAtMs.delete(vm);
       });
   }
 }
--- a/src/jobNode/JobNode.ts
+++ b/src/jobNode/JobNode.ts
@@ -177,7 +177,7 @@
       key: records.configurationKey,
       decode: records.decodeConfiguration,
       events,
-      onOther: (record) => this.takeWave(record),
+      onOtherRecord: (record) => this.takeWave(record),
     });
   }
 
--- a/src/jobs/DurableJobRow.ts
+++ b/src/jobs/DurableJobRow.ts
@@ -47,7 +47,7 @@
 }
 
 /** A task and its position among its job's tasks. */
-export interface TaskAt {
+export interface PositionedTask {
   readonly task: TaskRow;
   readonly position: number;
 }
@@ -57,7 +57,7 @@
  * @param row - The job.
  * @returns The tasks and their positions.
  */
-export function listPlacedTasks({ tasks }: DurableJobRow): readonly TaskAt[] {
+export function listPlacedTasks({ tasks }: DurableJobRow): readonly PositionedTask[] {
   return tasks
     .map((task, position) => ({ task, position }))
     .filter(({ task }) => task.phase === 'placed');
--- a/src/jobs/EndedJob.ts
+++ b/src/jobs/EndedJob.ts
@@ -12,14 +12,14 @@
 }
 
 /** A job in its home: the complete row until the job is finished and has left all targets. */
-export type KnownJob = DurableJobRow | EndedJob;
+export type TrackedJob = DurableJobRow | EndedJob;
 
 /**
  * Reduces a finished job to what is kept of it.
  * @param row - The job.
  * @returns The ended job, or undefined while the job is unfinished or has tasks on targets.
  */
-export function summarizeEnded(row: DurableJobRow): EndedJob | undefined {
+export function summarizeEndedJob(row: DurableJobRow): EndedJob | undefined {
   const { spec, state, tasks } = row;
   if (!isFinished(row) || tasks.some(({ phase }) => phase === 'placed')) return undefined;
   return { jobId: spec.jobId, state };
--- a/src/jobs/index.ts
+++ b/src/jobs/index.ts
@@ -5,7 +5,7 @@
   isLongRunning,
   listPlacedTasks,
   nameTask,
-  type TaskAt,
+  type PositionedTask as PositionedTask,
 } from './DurableJobRow.js';
 export type {
   DurableJobSpec,
@@ -15,7 +15,11 @@
   Schedule,
   StepSpec,
 } from './DurableJobSpec.js';
-export { type EndedJob, type KnownJob, summarizeEnded } from './EndedJob.js';
+export {
+  type EndedJob,
+  type TrackedJob as TrackedJob,
+  summarizeEndedJob as summarizeEndedJob,
+} from './EndedJob.js';
 export {
   decodeJobRecord,
   durableJobSpecSchema,
@@ -39,10 +43,10 @@
   cancelJob,
   endRun,
   findTask,
-  listGangMates,
-  noteCrash,
+  listOtherGangTasks as listOtherGangTasks,
+  recordCrash as recordCrash,
   placeTask,
   type RunEnd,
-  type TaskCrash,
+  type CrashOutcome as CrashOutcome,
   unplaceTask,
 } from './progressJob.js';
--- a/src/jobs/jobCodec.ts
+++ b/src/jobs/jobCodec.ts
@@ -57,7 +57,7 @@
   state: durableJobStateSchema.extract(['completed', 'failed', 'cancelled']),
 });
 
-const progressOrEndSchema = z.union([
+const progressOrEndedSchema = z.union([
   endedSchema.transform(({ type, state }) => ({ type, state })),
   progressSchema.transform((progress) => ({ type: 'progress' as const, progress })),
 ]);
@@ -133,7 +133,7 @@
   }
   if (key.startsWith(PROGRESS_PREFIX)) {
     const jobId = key.slice(PROGRESS_PREFIX.length);
-    const decoded = decodeRecordValue(progressOrEndSchema, record);
+    const decoded = decodeRecordValue(progressOrEndedSchema, record);
     if (decoded.type === 'progress') return { ...decoded, jobId };
     return { type: decoded.type, jobId, ended: { jobId, state: decoded.state } };
   }
--- a/src/jobs/jobProgress.ts
+++ b/src/jobs/jobProgress.ts
@@ -9,7 +9,7 @@
 
 /** Letter of each phase in {@link JobProgress.phases}. */
 const PHASE_LETTERS: Readonly<Record<TaskPhase, string>> = { waiting: 'w', placed: 'p', done: 'd' };
-const PHASES: ReadonlyMap<string, TaskPhase> = new Map([
+const PHASES_BY_LETTER: ReadonlyMap<string, TaskPhase> = new Map([
   ['w', 'waiting'],
   ['p', 'placed'],
   ['d', 'done'],
@@ -46,13 +46,13 @@
 export type JobProgress = z.output<typeof progressSchema>;
 
 /** Lists the positions and values of the tasks for which `read` returns a value. */
-function listKept<Value>(
+function collectPresentValues<Value>(
   tasks: readonly TaskRow[],
-  read: (task: TaskRow) => Value | undefined,
+  getValue: (task: TaskRow) => Value | undefined,
 ): [number, Value][] {
-  return tasks.flatMap((task, place): [number, Value][] => {
-    const value = read(task);
-    return value === undefined ? [] : [[place, value]];
+  return tasks.flatMap((task, position): [number, Value][] => {
+    const value = getValue(task);
+    return value === undefined ? [] : [[position, value]];
   });
 }
 
@@ -62,18 +62,20 @@
  * @returns The progress in columns.
  */
 export function packProgress({ state, finishedAtMs, tasks }: DurableJobRow): JobProgress {
-  const used = tasks.filter(({ phase }) => phase === 'placed').map(({ targetId }) => targetId!);
-  const targetIds = [...new Set(used)];
+  const placedTargetIds = tasks
+    .filter(({ phase }) => phase === 'placed')
+    .map(({ targetId }) => targetId!);
+  const targetIds = [...new Set(placedTargetIds)];
   return {
     state,
     ...(finishedAtMs === undefined ? {} : { finishedAtMs }),
     phases: tasks.map(({ phase }) => PHASE_LETTERS[phase]).join(''),
     runs: tasks.map(({ run }) => run),
     targetIds,
-    targetOf: used.map((targetId) => targetIds.indexOf(targetId)),
-    failures: listKept(tasks, ({ failureCount }) => failureCount || undefined),
-    crashes: listKept(tasks, ({ crashCount }) => crashCount || undefined),
-    checkpoints: listKept(tasks, ({ checkpoint }) => checkpoint),
+    targetOf: placedTargetIds.map((targetId) => targetIds.indexOf(targetId)),
+    failures: collectPresentValues(tasks, ({ failureCount }) => failureCount || undefined),
+    crashes: collectPresentValues(tasks, ({ crashCount }) => crashCount || undefined),
+    checkpoints: collectPresentValues(tasks, ({ checkpoint }) => checkpoint),
   };
 }
 
@@ -101,17 +103,17 @@
   const failures = new Map(progress.failures);
   const crashes = new Map(progress.crashes);
   const checkpoints = new Map(progress.checkpoints);
-  const targets = targetOf.map((place) => targetIds[place]).values();
-  const tasks = row.tasks.map((task, place): TaskRow => {
-    const phase = PHASES.get(phases[place]!)!;
+  const placedTargetIds = targetOf.map((targetIndex) => targetIds[targetIndex]).values();
+  const tasks = row.tasks.map((task, position): TaskRow => {
+    const phase = PHASES_BY_LETTER.get(phases[position]!)!;
     return {
       ...task,
       phase,
-      run: runs[place]!,
-      targetId: phase === 'placed' ? targets.next().value : undefined,
-      failureCount: failures.get(place) ?? 0,
-      crashCount: crashes.get(place) ?? 0,
-      checkpoint: checkpoints.get(place),
+      run: runs[position]!,
+      targetId: phase === 'placed' ? placedTargetIds.next().value : undefined,
+      failureCount: failures.get(position) ?? 0,
+      crashCount: crashes.get(position) ?? 0,
+      checkpoint: checkpoints.get(position),
     };
   });
   return { spec, state, tasks, finishedAtMs };
--- a/src/jobs/progressJob.ts
+++ b/src/jobs/progressJob.ts
@@ -6,7 +6,7 @@
   return { ...row, tasks: row.tasks.with(position, task) };
 }
 
-function freeTask(task: TaskRow): TaskRow {
+function resetToWaiting(task: TaskRow): TaskRow {
   return { ...task, phase: 'waiting', targetId: undefined };
 }
 
@@ -30,30 +30,30 @@
  * @returns The job with the task waiting.
  */
 export function unplaceTask(row: DurableJobRow, position: number): DurableJobRow {
-  return replaceTask(row, position, freeTask(row.tasks[position]!));
+  return replaceTask(row, position, resetToWaiting(row.tasks[position]!));
 }
 
 /** Lists the positions of all members of the task's gang, or of the task alone. */
-function listTogether(row: DurableJobRow, position: number): readonly number[] {
+function listGangPositions(row: DurableJobRow, position: number): readonly number[] {
   const { occurrence, step } = row.tasks[position]!;
   if (!row.spec.steps[step]!.isGang) return [position];
-  return row.tasks.flatMap((task, place) =>
-    task.occurrence === occurrence && task.step === step ? [place] : [],
+  return row.tasks.flatMap((task, memberPosition) =>
+    task.occurrence === occurrence && task.step === step ? [memberPosition] : [],
   );
 }
 
 function endTask(row: DurableJobRow, position: number, end: TaskEnd): TaskRow {
-  const task = freeTask(row.tasks[position]!);
+  const task = resetToWaiting(row.tasks[position]!);
   const { isLongRunning } = row.spec.steps[task.step]!;
   if (isLongRunning) return task;
   if (end === 'done') return { ...task, phase: 'done' };
   return end === 'failed' ? { ...task, failureCount: task.failureCount + 1 } : task;
 }
 
-function settle(row: DurableJobRow, position: number, nowMs: number): DurableJobRow {
+function updateJobState(row: DurableJobRow, position: number, nowMs: number): DurableJobRow {
   if (isFinished(row)) return row;
-  const failureCount = listTogether(row, position)
-    .map((place) => row.tasks[place]!.failureCount)
+  const failureCount = listGangPositions(row, position)
+    .map((memberPosition) => row.tasks[memberPosition]!.failureCount)
     .reduce((sum, count) => sum + count, 0);
   if (failureCount >= row.spec.terms.maxAttempts) {
     return { ...row, state: 'failed', finishedAtMs: nowMs };
@@ -84,21 +84,24 @@
   nowMs: number,
 ): DurableJobRow {
   const ended = endTask(row, position, end);
-  const settleMember = (task: TaskRow): TaskRow => {
+  const updateMember = (task: TaskRow): TaskRow => {
     const saved = { ...task, checkpoint: checkpoint ?? task.checkpoint };
     // The members of a gang finish together, so the end of one member applies to all of them.
-    return ended.phase === 'done' ? { ...freeTask(saved), phase: 'done' } : saved;
+    return ended.phase === 'done' ? { ...resetToWaiting(saved), phase: 'done' } : saved;
   };
-  const tasks = listTogether(row, position).reduce<readonly TaskRow[]>(
-    (before, place) =>
-      before.with(place, settleMember(place === position ? ended : before[place]!)),
+  const tasks = listGangPositions(row, position).reduce<readonly TaskRow[]>(
+    (tasksSoFar, memberPosition) =>
+      tasksSoFar.with(
+        memberPosition,
+        updateMember(memberPosition === position ? ended : tasksSoFar[memberPosition]!),
+      ),
     row.tasks,
   );
-  return settle({ ...row, tasks }, position, nowMs);
+  return updateJobState({ ...row, tasks }, position, nowMs);
 }
 
 /** Consequences of a target's crash for a task that was placed on it. */
-export interface TaskCrash {
+export interface CrashOutcome {
   /** Number of crashes that the task may have caused, including this one if applicable. */
   readonly crashCount: number;
   /** Whether the task must not be started again, which fails its job. */
@@ -113,15 +116,15 @@
  * @param nowMs - Wall-clock time in milliseconds since the Unix epoch.
  * @returns The job, in state `failed` if the task is given up.
  */
-export function noteCrash(
+export function recordCrash(
   row: DurableJobRow,
   position: number,
-  { crashCount, isTaskGivenUp }: TaskCrash,
+  { crashCount, isTaskGivenUp }: CrashOutcome,
   nowMs: number,
 ): DurableJobRow {
-  const noted = replaceTask(row, position, { ...row.tasks[position]!, crashCount });
-  if (!isTaskGivenUp || isFinished(row)) return noted;
-  return { ...noted, state: 'failed', finishedAtMs: nowMs };
+  const updated = replaceTask(row, position, { ...row.tasks[position]!, crashCount });
+  if (!isTaskGivenUp || isFinished(row)) return updated;
+  return { ...updated, state: 'failed', finishedAtMs: nowMs };
 }
 
 /**
@@ -130,9 +133,10 @@
  * @param position - Position of the task among the job's tasks.
  * @returns Positions of the other tasks; empty if the task does not belong to a gang.
  */
-export function listGangMates(row: DurableJobRow, position: number): readonly number[] {
-  return listTogether(row, position).filter(
-    (place) => place !== position && row.tasks[place]!.phase === 'placed',
+export function listOtherGangTasks(row: DurableJobRow, position: number): readonly number[] {
+  return listGangPositions(row, position).filter(
+    (memberPosition) =>
+      memberPosition !== position && row.tasks[memberPosition]!.phase === 'placed',
   );
 }
 
--- a/src/queues/ConfigurationFollower.ts
+++ b/src/queues/ConfigurationFollower.ts
@@ -17,7 +17,7 @@
   readonly decode: (value: Uint8Array) => QueueConfiguration;
   readonly events: EventLog;
   /** Receives the records of the topic that have another key. */
-  readonly onOther?: (record: KeyedRecord) => void;
+  readonly onOtherRecord?: (record: KeyedRecord) => void;
 }
 
 /**
@@ -25,7 +25,7 @@
  * milliseconds. A dead connection is detected only after this wait and the read's timeout. Their
  * sum has to stay well below the 2 s within which a configuration has to be in force.
  */
-const WAIT_MS = 1_000;
+const LONG_POLL_MS = 1_000;
 /**
  * Number of missed changes from which the follower reads only the newest configuration. A
  * configuration may have 256 KB; reading 60 of them takes 9 s on a link of 14 Mbit/s.
@@ -59,7 +59,7 @@
     });
     this.follower = new KeyedFollower({
       ...options,
-      onRecord: (record) => this.take(record),
+      onRecord: (record) => this.handleRecord(record),
       maxBehindCount: MAX_BEHIND_COUNT,
     });
   }
@@ -91,7 +91,7 @@
 
   private async read(): Promise<void> {
     try {
-      await this.follower.read(WAIT_MS);
+      await this.follower.read(LONG_POLL_MS);
       this.outage.noteSuccess({ version: this.configuration?.version });
     } catch (thrown) {
       const { version } = this.configuration ?? {};
@@ -100,8 +100,8 @@
     }
   }
 
-  private take(record: KeyedRecord): void {
-    const { key, decode, events, onOther } = this.options;
+  private handleRecord(record: KeyedRecord): void {
+    const { key, decode, events, onOtherRecord: onOther } = this.options;
     if (record.key !== key) {
       onOther?.(record);
       return;
--- a/src/taskHome/CrashAttribution.ts
+++ b/src/taskHome/CrashAttribution.ts
@@ -1,4 +1,4 @@
-import { parseTaskName, type TaskCrash } from '../jobs/index.js';
+import { parseTaskName, type CrashOutcome } from '../jobs/index.js';
 import { blameCrash, type CrashedRun, isProvenRun } from '../systems/index.js';
 import type { Clock } from '../utils/index.js';
 import type { JobTable } from './JobTable.js';
@@ -23,7 +23,7 @@
 /** What the crash of a target implies for the task of a lost run. */
 export interface AttributedCrash {
   readonly run: OrderedRun;
-  readonly crash: TaskCrash;
+  readonly crash: CrashOutcome;
 }
 
 /** A lost run, and how long its target is known to have survived it. */
--- a/src/taskHome/JobTable.ts
+++ b/src/taskHome/JobTable.ts
@@ -7,10 +7,10 @@
   type EndedJob,
   findTask,
   isFinished,
-  type KnownJob,
+  type TrackedJob,
   parseTaskName,
   type StepSpec,
-  summarizeEnded,
+  summarizeEndedJob,
   type TaskRow,
 } from '../jobs/index.js';
 import type { KeyedRecord } from '../store/index.js';
@@ -62,7 +62,7 @@
    * @param jobId - Id of the job.
    * @returns The job, or undefined if it is unknown.
    */
-  get(jobId: string): KnownJob | undefined {
+  get(jobId: string): TrackedJob | undefined {
     return this.active.get(jobId) ?? this.ended.get(jobId)?.job;
   }
 
@@ -79,7 +79,7 @@
    * Lists the jobs.
    * @returns A new array of the jobs, ended jobs first.
    */
-  list(): readonly KnownJob[] {
+  list(): readonly TrackedJob[] {
     return [...[...this.ended.values()].map(({ job }) => job), ...this.active.values()];
   }
 
@@ -107,7 +107,7 @@
    */
   restore(row: DurableJobRow): void {
     const { jobId } = row.spec;
-    const ended = summarizeEnded(row);
+    const ended = summarizeEndedJob(row);
     if (ended === undefined) this.active.set(jobId, row);
     else this.restoreEnded(ended);
   }
--- a/src/taskHome/JobTelemetry.ts
+++ b/src/taskHome/JobTelemetry.ts
@@ -1,4 +1,4 @@
-import type { DurableJobRow, RunEnd, TaskCrash } from '../jobs/index.js';
+import type { DurableJobRow, RunEnd, CrashOutcome } from '../jobs/index.js';
 import { type EventLog, OutageLog } from '../logging/index.js';
 import type { Metrics } from '../metrics/index.js';
 import type { PoolDemand } from '../systems/index.js';
@@ -99,7 +99,7 @@
   noteGivenUp(
     { spec }: DurableJobRow,
     { taskName, run, targetId }: RunKey,
-    { crashCount }: TaskCrash,
+    { crashCount }: CrashOutcome,
   ): void {
     const { events, metrics, term } = this.options;
     const { jobId, terms } = spec;
--- a/src/taskHome/RunStopper.ts
+++ b/src/taskHome/RunStopper.ts
@@ -1,7 +1,7 @@
 import {
   type DurableJobRow,
   isFinished,
-  listGangMates,
+  listOtherGangTasks,
   listPlacedTasks,
   nameTask,
   type TaskRow,
@@ -94,7 +94,7 @@
    * @param position - Index of the member among the job's tasks.
    */
   stopGangMates(row: DurableJobRow, position: number): void {
-    listGangMates(row, position).forEach((place) =>
+    listOtherGangTasks(row, position).forEach((place) =>
       this.options.orders.stop(nameTask(row, row.tasks[place]!)),
     );
   }
--- a/src/taskHome/TaskRuns.ts
+++ b/src/taskHome/TaskRuns.ts
@@ -4,7 +4,7 @@
   isFinished,
   listPlacedTasks,
   nameTask,
-  noteCrash,
+  recordCrash,
   placeTask,
   type RunEnd,
   unplaceTask,
@@ -273,7 +273,7 @@
     const { clock, telemetry } = this.options;
     const found = this.table.findTask(run.taskName);
     if (found === undefined || found.task.phase === 'done') return;
-    const row = noteCrash(found.row, found.position, crash, clock.wallMs());
+    const row = recordCrash(found.row, found.position, crash, clock.wallMs());
     this.table.put(row);
     if (!isFinished(row) || isFinished(found.row)) return;
     telemetry.noteGivenUp(row, run, crash);
--- a/tests/fleetHome/FleetHome.test.ts
+++ b/tests/fleetHome/FleetHome.test.ts
@@ -1,6 +1,6 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import type { FleetHome } from '../../src/fleetHome/index.js';
-import { makeDemand, openHome, OrderWorld } from './OrderWorld.js';
+import { makeDemand, createFleetHome, OrderWorld } from './OrderWorld.js';
 
 /** Time after which the list of VMs shows the effect of an order, in milliseconds. */
 const LISTED_AFTER_MS = 1_500;
@@ -18,7 +18,7 @@
     const targetIds = IDLE_VMS.map((vm) => `t-${vm}`);
     world.demands.set('archive', makeDemand('archive', 0, targetIds));
     world.demands.set('pages', makeDemand('pages', 32_000));
-    home = openHome(world);
+    home = createFleetHome(world);
   });
 
   afterEach(() => home.close());
@@ -41,8 +41,8 @@
     home.start();
     await vi.waitFor(() => expect(moveVm).toHaveBeenCalledTimes(1));
     const [vm] = moveVm.mock.calls[0]!;
-    const toldCount = world.drained.length;
-    await vi.waitFor(() => expect(world.drained.length).toBeGreaterThan(toldCount + 4));
-    expect(world.drained.slice(-2).flat()).toEqual([`t-${vm}`]);
+    const toldCount = world.drainedByCall.length;
+    await vi.waitFor(() => expect(world.drainedByCall.length).toBeGreaterThan(toldCount + 4));
+    expect(world.drainedByCall.slice(-2).flat()).toEqual([`t-${vm}`]);
   });
 });
--- a/tests/fleetHome/EndedLifetimes.test.ts
+++ b/tests/fleetHome/LifetimeEndDetector.test.ts
@@ -1,5 +1,5 @@
 import { beforeEach, describe, expect, it } from 'vitest';
-import { EndedLifetimes } from '../../src/fleetHome/EndedLifetimes.js';
+import { LifetimeEndDetector } from '../../src/fleetHome/LifetimeEndDetector.js';
 import { MemoryEventLog } from '../../src/logging/index.js';
 import { SystemClock } from '../../src/utils/index.js';
 import type { FleetVm } from '../../src/vms/index.js';
@@ -12,22 +12,22 @@
 
 describe('EndedLifetimes', () => {
   let away: Set<string>;
-  let lifetimes: EndedLifetimes;
+  let lifetimes: LifetimeEndDetector;
 
   beforeEach(() => {
     away = new Set();
     const isAway = (vm: string): boolean => away.has(vm);
-    lifetimes = new EndedLifetimes({
+    lifetimes = new LifetimeEndDetector({
       clock: new SystemClock(),
       events: new MemoryEventLog(),
-      isAway,
+      hasActiveOrder: isAway,
     });
-    lifetimes.note(NAMES.map((vm) => makeVm(vm)));
+    lifetimes.compare(NAMES.map((vm) => makeVm(vm)));
   });
 
   it('reports a VM as crashed that goes down or comes back in another lifetime', () => {
     const down = makeVm('v1', { state: 'down', targetId: undefined });
-    lifetimes.note([down, makeVm('v2', { targetId: 't-new' })]);
+    lifetimes.compare([down, makeVm('v2', { targetId: 't-new' })]);
     expect(lifetimes.list()).toEqual({
       endedTargets: ['t-v1', 't-v2'],
       crashedTargets: ['t-v1', 't-v2'],
@@ -38,7 +38,7 @@
   // Guards against giving up tasks whose targets ended because of moves and maintenance.
   it('reports a VM as ended and not as crashed after a move or maintenance', () => {
     away.add('v4');
-    lifetimes.note([
+    lifetimes.compare([
       makeVm('v1', { state: 'moving', pool: 'archive', targetId: undefined }),
       makeVm('v2', { state: 'in-maintenance', targetId: undefined }),
       makeVm('v3', { pool: 'archive', targetId: 't-new' }),
@@ -58,7 +58,7 @@
     ['one VM of a rack with others up', ['v1'], 0],
   ])('classifies the simultaneous loss of %s', (_what, lost, withRackCount) => {
     const down: Partial<FleetVm> = { state: 'down', targetId: undefined };
-    lifetimes.note(NAMES.map((vm) => makeVm(vm, lost.includes(vm) ? down : {})));
+    lifetimes.compare(NAMES.map((vm) => makeVm(vm, lost.includes(vm) ? down : {})));
     expect(lifetimes.list().crashedTargets).toHaveLength(lost.length);
     expect(lifetimes.list().lostWithRack).toHaveLength(withRackCount);
   });
--- a/tests/fleetHome/OrderWorld.ts
+++ b/tests/fleetHome/OrderWorld.ts
@@ -53,7 +53,7 @@
   readonly demands = new Map<string, PoolDemand>([['pages', makeDemand('pages', 64_000)]]);
 
   /** Drained targets that were sent to the homes of pools, one element per call. */
-  readonly drained: (readonly string[])[] = [];
+  readonly drainedByCall: (readonly string[])[] = [];
 
   /** Stored records: the newest of each key. */
   readonly stored = new Map<string, KeyedRecord>();
@@ -73,7 +73,7 @@
     return [...this.stored.values()].map((record) => decodeVmOrderRecord(record)!);
   }
 
-  open(term: number, holder = `holder-${term}`): VmOrders {
+  createOrders(term: number, holder = `holder-${term}`): VmOrders {
     const { clock, events, fleet, orderRecords } = this;
     return new VmOrders({
       port: fleet,
@@ -94,7 +94,7 @@
 }
 
 /** Creates a home of the fleet whose pools have the demands of the environment. */
-export function openHome(world: OrderWorld): FleetHome {
+export function createFleetHome(world: OrderWorld): FleetHome {
   const { clock, events, fleet, orderRecords } = world;
   return new FleetHome({
     port: fleet,
@@ -111,7 +111,7 @@
     listPools: () => [...world.demands.keys()],
     listStandbyPools: () => ['spares'],
     syncPool: async (pool, drained) => {
-      world.drained.push(drained);
+      world.drainedByCall.push(drained);
       return world.demands.get(pool);
     },
     store: (records) => world.store(records),
--- a/tests/fleetHome/WaveCoordinator.test.ts
+++ b/tests/fleetHome/WaveCoordinator.test.ts
@@ -34,14 +34,17 @@
 }
 
 /** Advances a wave of two VMs, the first of which an earlier home has taken down. */
-async function leadWave(first: FleetVm, tooEarly: readonly string[]): Promise<readonly string[]> {
-  const given: string[] = [];
+async function advanceWave(
+  first: FleetVm,
+  leasedVms: readonly string[],
+): Promise<readonly string[]> {
+  const orderedVms: string[] = [];
   const orders: Pick<VmOrders, 'listAway' | 'listTooEarly' | 'listInDoubt' | 'give'> = {
-    listAway: () => [],
-    listTooEarly: () => tooEarly,
-    listInDoubt: () => [],
-    give: async ({ vm }: VmOrder) => {
-      given.push(vm);
+    listActiveOrders: () => [],
+    listLeasedVms: () => leasedVms,
+    listUnconfirmedVms: () => [],
+    issue: async ({ vm }: VmOrder) => {
+      orderedVms.push(vm);
       return 'accepted';
     },
   };
@@ -50,7 +53,7 @@
   const vms: readonly FleetVm[] = [first, { vm: 'm2', pool: 'pages', state: 'up' }];
   await coordinator.advance(vms, new Map());
   await coordinator.advance(vms, new Map());
-  return given;
+  return orderedVms;
 }
 
 /** Counts the VMs of a large wave that a coordinator drains while the wall clock jumps. */
@@ -60,9 +63,9 @@
   const order = { wave: 1, vms: names, withinMs: 120_000, maxDownCount: 20 };
   const vms = names.map((vm): FleetVm => ({ vm, pool: 'pages', state: 'up', targetId: vm }));
   const orders: Pick<VmOrders, 'listAway' | 'listTooEarly' | 'listInDoubt'> = {
-    listAway: () => [],
-    listTooEarly: () => [],
-    listInDoubt: () => [],
+    listActiveOrders: () => [],
+    listLeasedVms: () => [],
+    listUnconfirmedVms: () => [],
   };
   const events = new MemoryEventLog();
   const coordinator = new WaveCoordinator({
@@ -110,9 +113,9 @@
   it('counts the VMs that an earlier home has taken down', async () => {
     const down: FleetVm = { vm: 'm1', pool: 'pages', state: 'in-maintenance' };
     const up: FleetVm = { ...down, state: 'up' };
-    expect(await leadWave(down, [])).toEqual([]);
-    expect(await leadWave(up, ['m1'])).toEqual([]);
-    expect(await leadWave(up, [])).toEqual(['m2']);
+    expect(await advanceWave(down, [])).toEqual([]);
+    expect(await advanceWave(up, ['m1'])).toEqual([]);
+    expect(await advanceWave(up, [])).toEqual(['m2']);
   });
 
   // Guards against two VMs of a wave being down when one is allowed: an order of the earlier home
@@ -132,7 +135,7 @@
     };
     const first = new VmOrders({ ...common, holder: 'a', term: 1, orderRecords: [], store });
     vi.spyOn(fleet, 'maintainVm').mockRejectedValueOnce(new Error('no answer'));
-    await first.give({ type: 'maintain', vm: 'm1', wave: 1 }, 't1');
+    await first.issue({ type: 'maintain', vm: 'm1', wave: 1 }, 't1');
     clock.advance(2 * ORDER_LEASE_MS);
     await first.settle();
     const orderRecords = stored.slice(-1).map((record) => decodeVmOrderRecord(record)!);
--- a/tests/fleetHome/WaveStepTimer.test.ts
+++ b/tests/fleetHome/WaveStepTimer.test.ts
@@ -9,20 +9,20 @@
     const clock = new ManualClock();
     const steps = new WaveStepTimer(clock);
     expect(steps.expectedMs).toBe(6_000);
-    steps.begin('m1');
+    steps.startStep('m1');
     clock.advance(2_000);
-    steps.noteOut(new Set(['m1']));
+    steps.endStepsExcept(new Set(['m1']));
     expect(steps.expectedMs).toBe(6_000);
-    steps.noteOut(new Set());
+    steps.endStepsExcept(new Set());
     expect(steps.expectedMs).toBe(3_000);
   });
 
   it('never expects more than the longest step', () => {
     const clock = new ManualClock();
     const steps = new WaveStepTimer(clock);
-    steps.begin('m1');
+    steps.startStep('m1');
     clock.advance(60_000);
-    steps.noteOut(new Set());
+    steps.endStepsExcept(new Set());
     expect(steps.expectedMs).toBe(6_000);
   });
 });
