--- a/src/systems/ArrivalRate.ts
+++ b/src/systems/ArrivalRate.ts
@@ -5,53 +5,53 @@
   readonly work: number;
 }
 
-/** Arrivals from which on a rate says something: of fewer, one more or less is most of it. */
+/** Least number of arrivals for a rate: with fewer, a single arrival dominates the result. */
 const MIN_ARRIVAL_COUNT = 5;
-/** Shortest span over which arrivals are counted, in ms: half of a VM's change of pool. */
+/** Shortest span over which arrivals are counted, in ms: half the time of a move between pools. */
 const MIN_SPAN_MS = 700;
-/** Longest span, in milliseconds: a rush of rare jobs shows in time for half of it. */
+/** Longest span, in milliseconds: a load peak of rare jobs is detected within half of it. */
 const MAX_SPAN_MS = 2_000;
 
-/** Arrivals in the later half of the span from which on a rise says something. */
+/** Least number of arrivals in the later half of the span for a rise to be significant. */
 const MIN_RISE_COUNT = 4;
 /**
- * How many times as much as in the earlier half has to arrive in the later one for a rise: at seven
- * arrivals a half chance alone does so about once in twelve looks.
+ * Ratio of the later half's work to the earlier half's above which the rate counts as rising: with
+ * seven arrivals in each half, chance alone exceeds it in about one of twelve evaluations.
  */
 const MIN_RISE_FACTOR = 2;
-/** Most that a rise is taken to grow by until a VM that is ordered now is there. */
+/** Assumed growth of a rising rate until a VM that is ordered now is available. */
 const FORESEEN_FACTOR = 2;
 
 function sumWork(arrivals: readonly Arrival[]): number {
   return arrivals.reduce((sum, { work }) => sum + work, 0);
 }
 
-/** How much work arrives, over the last moments. */
+/** Measures how much work has arrived recently. */
 export class ArrivalRate {
   private readonly clock: Clock;
 
   private arrivals: readonly Arrival[] = [];
 
   /**
-   * Starts without arrivals.
-   * @param clock - Tells which arrivals are recent.
+   * Creates a rate without arrivals.
+   * @param clock - Clock that determines which arrivals are recent.
    */
   constructor(clock: Clock) {
     this.clock = clock;
   }
 
   /**
-   * Takes note of work that has arrived.
-   * @param work - Thousandths of a core times milliseconds.
+   * Records work that has arrived.
+   * @param work - The work in thousandths of a core times milliseconds.
    */
   note(work: number): void {
     this.arrivals = [...this.listRecent(), { atMs: this.clock.monotonicMs(), work }];
   }
 
   /**
-   * Processor that would keep up with the arrivals, in thousandths of a core. Counted over a short
-   * span where many jobs come and over a longer one where few do: three large jobs that happen to
-   * come together are no rush.
+   * CPU that keeps up with the arrivals, in thousandths of a core. The rate is measured over a
+   * short span if many jobs arrive, and over a longer one otherwise, so that three large jobs that
+   * arrive together by chance don't count as a load peak.
    */
   get cpuMillicores(): number {
     const nowMs = this.clock.monotonicMs();
@@ -63,11 +63,11 @@
   }
 
   /**
-   * Processor that would keep up with the arrivals once a VM that is ordered now is there, in
+   * Forecast of the CPU that keeps up with the arrivals once a VM ordered now is available, in
    * thousandths of a core.
    *
-   * Answers the front of a rush, which grows for 2 to 3 s: a VM comes 2 s after its order, so what
-   * is ordered by the present rate is half of what is needed when it comes.
+   * A load peak grows for 2 to 3 s at its start, and a VM takes 2 s to become available. VMs that
+   * are ordered by the current rate would cover half of the need when they arrive.
    */
   get foreseenCpuMillicores(): number {
     const nowMs = this.clock.monotonicMs();
--- a/src/systems/PoolDemand.ts
+++ b/src/systems/PoolDemand.ts
@@ -1,36 +1,36 @@
-/** What a target of a pool carries. */
+/** Load of one target of a pool. */
 export interface TargetLoad {
   readonly targetId: string;
-  /** Runs that are placed on it, started or not. */
+  /** Runs that are placed on the target, started or not. */
   readonly runCount: number;
   readonly longRunningCount: number;
   readonly usedCpuMillicores: number;
   readonly cpuMillicores: number;
 }
 
-/** Load and demand of a pool, as its home sees them. */
+/** Load and demand of a pool, as reported by its home. */
 export interface PoolDemand {
   readonly pool: string;
   readonly targets: readonly TargetLoad[];
-  /** Processor that waiting tasks ask for whose turn has come, in thousandths of a core. */
+  /** CPU demand of waiting tasks that are ready to start, in thousandths of a core. */
   readonly waitingCpuMillicores: number;
   /**
-   * Processor that would serve what arrives and what is left to do in time, in thousandths of a
-   * core; long-running tasks count with what they occupy.
+   * CPU that completes the arriving work and the backlog in time, in thousandths of a core,
+   * including the allocations of long-running tasks.
    */
   readonly neededCpuMillicores: number;
-  /** The part of it for work that is too late for its objective, which yields to work in time. */
+  /** Part of the need for work that is too late for its objective, which yields to other work. */
   readonly lateCpuMillicores: number;
-  /** VMs without long-running tasks for tasks that fit beside those of no target. */
+  /** VMs without long-running tasks, for tasks that don't fit next to those of any target. */
   readonly wholeVmCount: number;
-  /** Unfinished jobs. */
+  /** Number of unfinished jobs. */
   readonly jobCount: number;
 }
 
 /**
- * Finds the loads of targets over several pools.
- * @param demands - The pools.
- * @returns Loads by the ids of their targets.
+ * Indexes the target loads of several pools.
+ * @param demands - Demands of the pools.
+ * @returns The loads by target id.
  */
 export function indexLoads(demands: readonly PoolDemand[]): ReadonlyMap<string, TargetLoad> {
   return new Map(
--- a/src/systems/PoolLoad.ts
+++ b/src/systems/PoolLoad.ts
@@ -4,7 +4,7 @@
 import { VmLoad } from './VmLoad.js';
 import { isQuarantined } from './vmStates.js';
 
-/** Share of its cores that a throttled run keeps. */
+/** Share of its cores that a throttled run retains. */
 export const THROTTLED_CORE_FRACTION = 0.25;
 
 /** Options of {@link PoolLoad}. */
@@ -14,12 +14,12 @@
   readonly nowMs: number;
 }
 
-/** Adds to a counter in a map. */
+/** Increases a counter in a map. */
 function addTo<Key>(counts: Map<Key, number>, key: Key, by: number): void {
   counts.set(key, (counts.get(key) ?? 0) + by);
 }
 
-/** What each accepting VM, rack, team and urgency of a pool holds at the moment. */
+/** Current usage of a pool by accepting VM, rack, team and urgency. */
 export class PoolLoad {
   readonly vmLoads: readonly VmLoad[];
 
@@ -39,7 +39,7 @@
   private usedSlots = 0;
 
   /**
-   * Counts the pool's grants.
+   * Computes the usage from the pool's grants.
    * @param options - State of the pool and the time.
    */
   constructor(options: PoolLoadOptions) {
@@ -59,7 +59,7 @@
     });
   }
 
-  /** Slots of the accepting VMs that no run holds. */
+  /** Unoccupied slots of the accepting VMs. */
   get freeSlotCount(): number {
     return this.slotCount - this.usedSlots;
   }
@@ -67,34 +67,34 @@
   /**
    * Gets the load of an accepting VM.
    * @param vm - Name of the VM.
-   * @returns Its load, or undefined where it takes no work.
+   * @returns The load, or undefined if the VM accepts no work.
    */
   getVmLoad(vm: string): VmLoad | undefined {
     return this.loadByVm.get(vm);
   }
 
   /**
-   * Counts the slots that a team holds.
+   * Counts the slots that a team occupies.
    * @param team - The team.
-   * @returns Slots on all VMs, also on those that drain.
+   * @returns Slots on all VMs, including draining ones.
    */
   heldByTeamCount(team: string): number {
     return this.heldByTeam.get(team) ?? 0;
   }
 
   /**
-   * Counts the slots that jobs of an urgency hold.
+   * Counts the slots that jobs of an urgency occupy.
    * @param urgency - The urgency.
-   * @returns Slots on all VMs, also on those that drain.
+   * @returns Slots on all VMs, including draining ones.
    */
   heldByUrgencyCount(urgency: Urgency): number {
     return this.heldByUrgency.get(urgency) ?? 0;
   }
 
   /**
-   * Measures how full a VM's rack is.
+   * Computes the slot utilisation of a VM's rack.
    * @param load - Load of the VM.
-   * @returns Share of the rack's slots in use.
+   * @returns Share of the rack's slots that are in use.
    */
   rackLoadFraction(load: VmLoad): number {
     const usedSlotCount = this.usedSlotsByRack.get(load.rack) ?? 0;
@@ -103,9 +103,9 @@
 
   /**
    * Adds a run.
-   * @param run - On which VM, for which team, how urgent.
-   * @param size - What it takes.
-   * @param startedAtMs - Monotonic time of its start.
+   * @param run - VM, team and urgency of the run.
+   * @param size - Resources of the run.
+   * @param startedAtMs - Monotonic time of its start, in milliseconds.
    */
   countRun(
     run: Pick<GrantRow, 'vm' | 'team' | 'urgency'>,
--- a/src/systems/PoolPeaks.ts
+++ b/src/systems/PoolPeaks.ts
@@ -3,48 +3,49 @@
 import type { PoolDemand } from './PoolDemand.js';
 
 /**
- * Share of a pool's peak that it keeps while it idles. A rush takes about 2.5 s to bring VMs and 8
- * s in all, so what is kept serves the front; kept VMs cost all the time, so a quarter is about
- * where the next VM costs as much as it serves.
+ * Share of a pool's peak that it keeps as a reserve while idle. A load peak lasts 8 s, and VMs for
+ * it arrive after about 2.5 s, so the reserve covers its start. Reserve VMs have a cost all the
+ * time; at about a quarter, one more VM costs as much as it is worth.
  */
 const KEPT_SHARE = 0.25;
-/** Time in which half of a peak is forgotten, in milliseconds: some rounds of rushes. */
+/** Half-life of a peak, in milliseconds: several rounds of load peaks. */
 const HALF_LIFE_MS = 300_000;
 
-/** Time in which what a pool has counts as its peak, in ms: targets are met within 2 s. */
+/** Time in which a new pool's targets count as its peak, in ms: all are discovered within 2 s. */
 const ALLOTMENT_WINDOW_MS = 3_000;
 
-/** The most VMs that a pool has used at once, faded until it was seen last. */
+/** Most VMs that a pool has used at once, decayed until the pool was last observed. */
 export interface PoolPeak {
   readonly pool: string;
   readonly vmCount: number;
 }
 
 interface SeenPeak extends PoolPeak {
-  /** Monotonic time at which the pool was seen last. */
+  /** Monotonic time at which the pool was last observed, in milliseconds. */
   readonly seenAtMs: number;
 }
 
 /**
- * The most VMs that each pool has been seen to use at once, which fades slowly.
+ * Tracks the most VMs that each pool has used at once, with slow exponential decay.
  *
- * Guards against a takeover in the midst of a rush: what a pool has at that moment says nothing of
- * what operators gave it, and a pool that others had just been served from would keep three VMs
- * for its own rush. So an earlier home's peaks are taken over, as seen at that moment: it stored
- * each as it changed, and by a time of day that jumps by 40 minutes all would have faded.
+ * A new home continues with the stored peaks of the previous one. During a load peak, the current
+ * VMs of a pool don't show how many operators assigned to it, and a pool that has just given its
+ * VMs to others would keep three for its own peak. The stored peaks count as observed at the
+ * takeover: the previous home stored each one when it changed, and with ages by the wall clock, a
+ * jump of 40 minutes would decay all of them.
  */
 export class PoolPeaks {
   private readonly clock: Clock;
 
   private readonly peaks: Map<string, SeenPeak>;
 
-  /** When each pool without a known peak was seen first, by the monotonic clock. */
+  /** Monotonic time at which each pool was first observed; -Infinity if its peak was known. */
   private readonly firstSeenAtMs = new Map<string, number>();
 
   /**
-   * Starts with what is known.
-   * @param clock - Tells how old a peak is.
-   * @param known - Peaks as an earlier home has seen them.
+   * Creates the peaks.
+   * @param clock - Clock that determines the age of a peak.
+   * @param known - Peaks observed by an earlier home.
    */
   constructor(clock: Clock, known: readonly PoolPeak[] = []) {
     this.clock = clock;
@@ -54,8 +55,8 @@
   }
 
   /**
-   * Takes note of what a pool uses. What it has in its first seconds counts as its peak, since
-   * operators have given it that.
+   * Records the usage of a pool. The number of its targets in the first seconds counts as a peak,
+   * since operators assigned them.
    * @param demand - Load and demand of the pool.
    */
   note({ pool, targets }: PoolDemand): void {
@@ -72,15 +73,15 @@
 
   /**
    * Lists the peaks.
-   * @returns One for each pool that has been seen.
+   * @returns One peak for each known pool.
    */
   list(): readonly PoolPeak[] {
     return [...this.peaks.values()].map(({ pool, vmCount }) => ({ pool, vmCount }));
   }
 
   /**
-   * Counts the VMs that each pool keeps without a need.
-   * @returns The counts by pool.
+   * Computes the number of reserve VMs that each pool keeps without load.
+   * @returns The numbers by pool.
    */
   getKeptCounts(): ReadonlyMap<string, number> {
     return new Map(
--- a/src/systems/PoolRooms.ts
+++ b/src/systems/PoolRooms.ts
@@ -2,31 +2,31 @@
 import { getOccupied, type TargetRoom } from './TargetRoom.js';
 
 /**
- * Rooms of one pool during a round of placement.
+ * Free capacity of one pool's targets during a round of placement.
  *
- * Guards against rounds that take the processor of a small home where much waits: a full pool is
- * looked through once, and not again for each step that waits.
+ * Caches the largest free CPU of the targets, so that a full pool is scanned once and not for each
+ * waiting step. Repeated scans would use up the CPU of a small home when many steps wait.
  */
 export class PoolRooms {
-  /** The rooms, in the order of their targets. */
+  /** Free capacity of each target, in the order of the targets. */
   readonly rooms: readonly TargetRoom[];
 
-  /** Most processor that is free in an open room; undefined once that may have changed. */
+  /** Largest free CPU of a target that accepts tasks; undefined after it may have changed. */
   private largestFreeCpuMillicores: number | undefined;
 
   /**
-   * Takes the rooms of a pool.
-   * @param rooms - The rooms; who takes room in them tells so by {@link noteTaken}.
+   * Creates the capacity of a pool.
+   * @param rooms - Free capacity of each target; call {@link noteTaken} after each allocation.
    */
   constructor(rooms: readonly TargetRoom[]) {
     this.rooms = rooms;
   }
 
   /**
-   * Tells whether some open room has the processor that a task of a step needs. The room may still
-   * not accept the task for another reason.
+   * Tells whether some target that accepts tasks has enough free CPU for a task of a step. The
+   * target may still reject the task for another reason.
    * @param step - The step.
-   * @returns Whether it is worth to look for a room.
+   * @returns Whether it is worth searching for a target.
    */
   mayTake(step: StepSpec): boolean {
     this.largestFreeCpuMillicores ??= this.rooms
@@ -35,7 +35,7 @@
     return getOccupied(step).cpuMillicores <= this.largestFreeCpuMillicores;
   }
 
-  /** Takes note that room has been taken. */
+  /** Invalidates the cached value after an allocation. */
   noteTaken(): void {
     this.largestFreeCpuMillicores = undefined;
   }
--- a/src/systems/RunEstimator.ts
+++ b/src/systems/RunEstimator.ts
@@ -2,40 +2,40 @@
 import { MIN_LEARNED_RUN_COUNT } from './learnedSize.js';
 import { quantile } from './quantile.js';
 
-/** Run time assumed for a kind that the settings do not declare, in milliseconds. */
+/** Run time assumed for a job kind that the settings do not declare, in milliseconds. */
 const UNDECLARED_RUN_MS = 1_000;
-/** Quantile of the run times that a run is taken not to fall short of. */
+/** Quantile of the measured run times that serves as the shortest expected run time. */
 const SHORT_RUN_QUANTILE = 0.1;
 
-/** What a run of a kind is expected to last. */
+/** Expected run time of a job kind. */
 export interface RunEstimate {
-  /** Whether it comes from measured runs and not from the declaration. */
+  /** Whether the estimate comes from measured runs rather than from the declaration. */
   readonly isMeasured: boolean;
-  /** Nearly every run lasts at least this long; 0 where nothing is measured. */
+  /** Nearly every run lasts at least this long; 0 without measurements. */
   readonly shortestMs: number;
   readonly meanMs: number;
-  /** Few runs last longer; 0 where nothing is measured. */
+  /** Few runs last longer; 0 without measurements. */
   readonly longMs: number;
 }
 
-/** Estimates of run times by kind, computed once each for one run of the placement. */
+/** Estimates run times by job kind, and caches each estimate for one round of placement. */
 export class RunEstimator {
   private readonly tables: PoolTables;
 
   private readonly estimates = new Map<string, RunEstimate>();
 
   /**
-   * Starts without an estimate.
-   * @param tables - State of the pool with the history of its kinds.
+   * Creates an estimator with an empty cache.
+   * @param tables - State of the pool with the history of its job kinds.
    */
   constructor(tables: PoolTables) {
     this.tables = tables;
   }
 
   /**
-   * Estimates how long a run of a kind lasts.
-   * @param jobKind - The kind.
-   * @returns The estimate; declared run times are often far off and only stand in for the mean.
+   * Estimates how long a run of a job kind lasts.
+   * @param jobKind - The job kind.
+   * @returns The estimate; a declared run time, often far off, only replaces a missing mean.
    */
   estimate(jobKind: string): RunEstimate {
     const known = this.estimates.get(jobKind);
--- a/src/systems/RunTimes.ts
+++ b/src/systems/RunTimes.ts
@@ -1,40 +1,40 @@
 import type { DurableJobRow } from '../jobs/index.js';
 import { memoizeByObject } from '../utils/index.js';
 
-/** What a task was, and how long it ran. */
+/** Measured run time of a finished task, with its queue, image and declared run time. */
 export interface MeasuredRun {
   readonly queue: string;
-  /** What its step runs, where the caller named it. */
+  /** Image that its step runs, if the caller named one. */
   readonly image: string | undefined;
-  /** What its caller had guessed, in milliseconds; 0 where there was no guess. */
+  /** Run time that the caller declared, in milliseconds; 0 if none was declared. */
   readonly declaredMs: number;
   readonly runMs: number;
 }
 
-/** A mean that follows the latest values. */
+/** Exponential moving average. */
 interface Mean {
   readonly count: number;
   readonly value: number;
 }
 
-/** How far each way of estimating was off in a queue, as a share of the run time. */
+/** Mean relative error of each estimation method in one queue. */
 interface Errors {
   readonly declared: Mean;
   readonly byQueue: Mean;
   readonly byImage: Mean;
 }
 
-/** Runs from which on a mean says something. */
+/** Runs from which on a mean is reliable. */
 const MIN_RUN_COUNT = 8;
-/** Weight of a new run in the means: the last twenty or so decide. */
+/** Weight of a new run in the means, which corresponds to about the last twenty runs. */
 const LEARNING_RATE = 0.05;
-/** Run time of a task about which nothing is known, in milliseconds. */
+/** Run time assumed for a task without declaration or measurements, in milliseconds. */
 const UNKNOWN_RUN_MS = 1_000;
 
 const NO_MEAN: Mean = { count: 0, value: 0 };
 const NO_ERRORS: Errors = { declared: NO_MEAN, byQueue: NO_MEAN, byImage: NO_MEAN };
 
-/** Counts the tasks of each step that are not done. */
+/** Counts the unfinished tasks of each step. */
 const countOpenTasks = memoizeByObject(({ spec, tasks }: DurableJobRow): readonly number[] =>
   tasks
     .filter(({ phase }) => phase !== 'done')
@@ -54,9 +54,9 @@
 }
 
 /**
- * Learns how long tasks run, since declared run times are often far off. A task is estimated by
- * what its caller declared, by the mean of its queue or by the mean of its image, whichever has
- * been off by least in its queue.
+ * Learns how long tasks run, since declared run times are often far off. The estimate for a task is
+ * the declared run time, the mean of its queue or the mean of its image, whichever method has the
+ * smallest mean error in the queue.
  */
 export class RunTimes {
   private readonly byQueue = new Map<string, Mean>();
@@ -68,15 +68,15 @@
   private readonly isLearning: boolean;
 
   /**
-   * Starts without measurements.
-   * @param isLearning - Whether measurements count; otherwise only declarations do.
+   * Creates estimates without measurements.
+   * @param isLearning - Whether measurements are used; otherwise only declarations are.
    */
   constructor(isLearning = true) {
     this.isLearning = isLearning;
   }
 
   /**
-   * Takes note of a task that is done.
+   * Records a finished task.
    * @param run - The task and its run time.
    */
   note({ queue, image, declaredMs, runMs }: MeasuredRun): void {
@@ -119,7 +119,7 @@
   }
 
   /**
-   * Estimates how long a job takes from its start where nothing waits: its longest chain of steps.
+   * Estimates how long a job takes from its start if no task waits: its critical path.
    * @param row - The job.
    * @returns The estimate in milliseconds.
    */
@@ -128,8 +128,8 @@
   }
 
   /**
-   * Estimates how long the rest of a job takes where nothing waits: its longest chain of steps that
-   * are not done.
+   * Estimates how long the rest of a job takes if no task waits: the critical path of its
+   * unfinished steps.
    * @param row - The job.
    * @returns The estimate in milliseconds.
    */
@@ -139,9 +139,9 @@
   }
 
   /**
-   * Estimates the work that is left of a job.
+   * Estimates the remaining work of a job, without its long-running tasks.
    * @param row - The job.
-   * @returns Thousandths of a core times milliseconds.
+   * @returns The work in thousandths of a core times milliseconds.
    */
   estimateWork(row: DurableJobRow): number {
     const openCounts = countOpenTasks(row);
--- a/src/systems/TargetRoom.ts
+++ b/src/systems/TargetRoom.ts
@@ -1,22 +1,22 @@
 import type { DurableJobRow, Resources, StepSpec } from '../jobs/index.js';
 
-/** A target as placement sees it. */
+/** A target that placement may choose. */
 export interface PlacementTarget {
   readonly targetId: string;
   readonly pool: string;
   readonly rack: string | undefined;
   readonly labels: readonly string[];
   readonly capacity: Resources;
-  /** Whether the target may get new tasks; false while it drains, is unheard of or fails tasks. */
+  /** Whether the target may get new tasks; false while it drains, is silent or fails its tasks. */
   readonly takesTasks: boolean;
-  /** Whether it has started a short while ago, perhaps after a crash. */
+  /** Whether the target has started recently, possibly after a crash. */
   readonly hasJustStarted?: boolean;
-  /** Whether a task that may have crashed a target has just begun there. */
+  /** Whether a task that may have crashed a target has just started on this one. */
   readonly holdsSuspect?: boolean;
 }
 
 /**
- * Computes what a task takes from the room of its target; a best-effort task takes no processor.
+ * Returns the resources that are allocated to a task; a best-effort task is allocated no CPU.
  * @param step - The task's step.
  * @returns The resources.
  */
@@ -25,9 +25,9 @@
 }
 
 /**
- * Tells whether tasks need more than a target has.
- * @param steps - Their steps, one for each task.
- * @param capacity - What the target has in all.
+ * Tells whether tasks need more resources than a target has.
+ * @param steps - The steps of the tasks, one entry for each task.
+ * @param capacity - Total resources of the target.
  * @returns Whether one of the resources is exceeded.
  */
 export function exceedsCapacity(steps: readonly StepSpec[], capacity: Resources): boolean {
@@ -40,7 +40,7 @@
   );
 }
 
-/** Room of one target during a round of placement. */
+/** Tracks the free capacity of one target during a round of placement. */
 export class TargetRoom {
   readonly target: PlacementTarget;
 
@@ -59,7 +59,7 @@
   private readonly countsByStep = new Map<string, number>();
 
   /**
-   * Starts with an empty target.
+   * Creates the capacity of a target without tasks.
    * @param target - The target.
    */
   constructor(target: PlacementTarget) {
@@ -72,41 +72,42 @@
     } = target.capacity);
   }
 
-  /** Whether a long-running task keeps the target from falling idle. */
+  /** Whether a long-running task keeps the target from becoming idle. */
   get isHeld(): boolean {
     return this.longRunningCount > 0;
   }
 
   /**
-   * What a crash here would cost, the worst first: tasks that last; doubt about its cause, where
-   * the target may be one that crashes whatever it runs; other tasks.
+   * Cost of a crash of this target, the most important part first: the number of long-running
+   * tasks, whether the cause would be ambiguous because the target may be one that crashes
+   * regardless of its tasks, and the number of all tasks.
    */
   get stake(): readonly number[] {
     return [this.longRunningCount, this.target.hasJustStarted === true ? 1 : 0, this.taskCount];
   }
 
   /**
-   * Keeps others out from now on, for a task that may have crashed a target.
+   * Reserves the target for a task that may have crashed a target; it accepts no more tasks.
    *
-   * Guards against neighbours that lose their work with the next crash, and against a crash of
-   * which nobody can tell which of two such tasks caused it.
+   * Otherwise other tasks would lose their work in the next crash, and if two such tasks shared a
+   * target, the cause of a crash would be ambiguous.
    */
   reserve(): void {
     this.holdsSuspect = true;
   }
 
-  /** Whether the target takes tasks at all, and no suspect keeps others out. */
+  /** Whether the target takes tasks and is not reserved for a suspect. */
   get isOpen(): boolean {
     return this.target.takesTasks && !this.holdsSuspect;
   }
 
-  /** Processor that no task occupies, in thousandths of a core. */
+  /** Unallocated CPU, in thousandths of a core. */
   get freeCpuMillicores(): number {
     return this.cpuMillicores;
   }
 
   /**
-   * Takes room for a task.
+   * Allocates resources to a task.
    * @param stepKey - Job, occurrence and step of the task.
    * @param step - The step.
    */
@@ -121,7 +122,7 @@
   }
 
   /**
-   * Gives the room of a task back.
+   * Releases the resources of a task.
    * @param stepKey - Job, occurrence and step of the task.
    * @param step - The step.
    */
@@ -136,19 +137,19 @@
   }
 
   /**
-   * Counts the tasks of a step here.
+   * Counts the tasks of a step on this target.
    * @param stepKey - Job, occurrence and step.
-   * @returns How many there are.
+   * @returns The number of tasks.
    */
   countOf(stepKey: string): number {
     return this.countsByStep.get(stepKey) ?? 0;
   }
 
   /**
-   * Tells whether one more task of a step may run here.
+   * Tells whether one more task of a step may run on this target.
    * @param stepKey - Job, occurrence and step.
    * @param step - The step.
-   * @returns Whether there is room and the step's own limits allow it.
+   * @returns Whether the free capacity suffices and the constraints of the step are met.
    */
   accepts(stepKey: string, step: StepSpec): boolean {
     const { labels } = this.target;
@@ -165,11 +166,11 @@
 }
 
 /**
- * Names a step of one occurrence of a job.
+ * Builds the key of a step in one occurrence of a job.
  * @param row - The job.
  * @param occurrence - Number of the occurrence.
  * @param step - Index of the step.
- * @returns A key, unique over all jobs.
+ * @returns The key, unique across all jobs.
  */
 export function getStepKey({ spec }: DurableJobRow, occurrence: number, step: number): string {
   return `${spec.jobId}.${occurrence}.${step}`;
--- a/src/systems/VmLoad.ts
+++ b/src/systems/VmLoad.ts
@@ -4,16 +4,16 @@
 
 /** How long a start counts as recent, in milliseconds. */
 const RECENT_START_MS = 50;
-/** How long a run after a failure has to last to count as no failure, in milliseconds. */
+/** Run time after which a run that follows a failure counts as no failure, in milliseconds. */
 const TRIAL_MS = 5_000;
-/** Pauses between trials of a VM with failures, in milliseconds. */
+/** Base and maximum of the pause between trial runs on a VM with failures, in milliseconds. */
 const FIRST_TRIAL_PAUSE_MS = 250;
 const MAX_TRIAL_PAUSE_MS = 10_000;
 
 /** Options of {@link VmLoad}. */
 export interface VmLoadOptions {
   readonly vm: PoolVmRow;
-  /** What is held against the VM, if anything. */
+  /** Failure history of the VM, if any. */
   readonly health: VmHealthRow | undefined;
   /** Monotonic time, in milliseconds. */
   readonly nowMs: number;
@@ -21,11 +21,11 @@
 
 const NOTHING_FREED = { slotCount: 0, coreCount: 0, memoryMb: 0 };
 
-/** What a VM carries at the moment, and what else would fit. */
+/** Current load and free capacity of a VM. */
 export class VmLoad {
   readonly vm: PoolVmRow;
 
-  /** Name of the VM's rack, unique over all data centres. */
+  /** Name of the VM's rack, unique across all data centres. */
   readonly rack: string;
 
   private readonly health: VmHealthRow | undefined;
@@ -43,8 +43,8 @@
   private trials = 0;
 
   /**
-   * Starts with an empty VM.
-   * @param options - The VM, what is held against it, and the time.
+   * Creates the load of a VM without runs.
+   * @param options - The VM, its failure history, and the time.
    */
   constructor(options: VmLoadOptions) {
     this.vm = options.vm;
@@ -53,15 +53,15 @@
     this.nowMs = options.nowMs;
   }
 
-  /** Requests that failed on the VM since its last success. */
+  /** Number of requests that failed on the VM since its last success. */
   get failureCount(): number {
     return this.health?.failedRequestIds.length ?? 0;
   }
 
   /**
-   * Whether the VM is trusted with one more run. A VM that fails all that it starts is always
-   * empty and would draw every job; after a failure it gets a single run at a time, after a pause
-   * that doubles with each failure, until a run has ended well.
+   * Whether the VM may get one more run in view of its failures. A VM that fails every run is
+   * always empty and would attract every job. After a failure it gets one trial run at a time,
+   * with a pause that doubles with each failure, until a run succeeds.
    */
   get isTrusted(): boolean {
     if (this.health === undefined || this.failureCount === 0) return true;
@@ -74,30 +74,30 @@
     return this.usedSlots;
   }
 
-  /** Runs that began within the last moments. */
+  /** Number of runs that started recently. */
   get recentStartCount(): number {
     return this.recentStarts;
   }
 
-  /** Cores that no run has. */
+  /** Unallocated cores. */
   get freeCoreCount(): number {
     return this.vm.coreCount - this.usedCores;
   }
 
-  /** Memory that no run has, in megabytes. */
+  /** Unallocated memory, in megabytes. */
   get freeMemoryMb(): number {
     return this.vm.memoryMb - this.usedMemory;
   }
 
-  /** Slots that no run has. */
+  /** Unoccupied slots. */
   get freeSlotCount(): number {
     return this.vm.slotCount - this.usedSlots;
   }
 
   /**
    * Adds a run.
-   * @param size - What it takes.
-   * @param startedAtMs - Monotonic time of its start.
+   * @param size - Resources of the run.
+   * @param startedAtMs - Monotonic time of its start, in milliseconds.
    */
   add(size: JobSize, startedAtMs: number): void {
     this.usedSlots += 1;
@@ -111,9 +111,9 @@
 
   /**
    * Tells whether a run fits.
-   * @param size - What it takes.
-   * @param freed - What would be freed for it first.
-   * @returns Whether slot, cores and memory suffice.
+   * @param size - Resources of the run.
+   * @param freed - Resources that would be freed before the run starts.
+   * @returns Whether slots, cores and memory suffice.
    */
   fits(size: JobSize, freed: JobSize & { readonly slotCount: number } = NOTHING_FREED): boolean {
     return (
@@ -124,9 +124,9 @@
   }
 
   /**
-   * Measures how tightly a run would fit.
-   * @param size - What it takes.
-   * @returns Share of the VM left idle in its scarcer resource; smaller is tighter.
+   * Computes how tightly a run would fit.
+   * @param size - Resources of the run.
+   * @returns Free share of the VM's scarcer resource after placement; smaller is tighter.
    */
   slackAfter(size: JobSize): number {
     const coreSlack = (this.freeCoreCount - size.coreCount) / this.vm.coreCount;
--- a/src/systems/alignSubmissions.ts
+++ b/src/systems/alignSubmissions.ts
@@ -1,6 +1,6 @@
 import { type DurableJobRow, isLongRunning } from '../jobs/index.js';
 
-/** Age of the newest job of a pool at a takeover from which two clocks disagree, in ms. */
+/** Age of a pool's newest job at a takeover above which the two clocks differ, in ms. */
 const MAX_NEWEST_AGE_MS = 60_000;
 
 function submitAt(row: DurableJobRow, submittedAtMs: number): DurableJobRow {
@@ -8,14 +8,14 @@
 }
 
 /**
- * Aligns the times at which jobs were submitted with the clock of the home that takes them over.
+ * Adjusts the submission times of jobs to the wall clock of the home that takes them over.
  *
- * Guards against jobs that are served last, or hold back all that come later: the time of day of
- * two homes may be 40 minutes apart, so that the jobs of one look late to the other, or not yet due
- * for long. Nothing is submitted later than now. Where even the newest job looks a minute old, it
- * counts as just submitted, and the others as older by as much as they were.
- * @param rows - The jobs that are not over.
- * @param nowMs - Wall-clock time here, in milliseconds since the Unix epoch.
+ * The clocks of two homes may differ by 40 minutes. Without the adjustment, jobs from the previous
+ * home look overdue and are placed last, or look not yet due for long and hold back every later
+ * job. Submission times in the future are set to now. If even the newest job looks a minute old,
+ * the times are shifted so that it counts as just submitted and the differences in age stay.
+ * @param rows - The unfinished jobs.
+ * @param nowMs - Wall-clock time of the new home, in milliseconds since the Unix epoch.
  * @returns The jobs, in the same order.
  */
 export function alignSubmissions(
--- a/src/systems/blameCrash.ts
+++ b/src/systems/blameCrash.ts
@@ -1,39 +1,39 @@
-/** A run that was on a target when that crashed. */
+/** A run that was on a target when the target crashed. */
 export interface CrashedRun {
   readonly jobId: string;
-  /** Crashes of targets that its task may have caused before. */
+  /** Number of earlier target crashes that its task may have caused. */
   readonly crashCount: number;
   readonly isLongRunning: boolean;
-  /** Whether its start was sent, so that the target may have begun it. */
+  /** Whether the start request was sent, so that the target may have started the run. */
   readonly isSent: boolean;
-  /** For how long the target is known to have borne the run, in milliseconds. */
+  /** How long the target is known to have executed the run, in milliseconds. */
   readonly survivedMs: number;
 }
 
-/** What a crash says of one of the runs. */
+/** Result of a crash for the task of one run. */
 export interface CrashBlame {
-  /** Crashes that the task may have caused, with this one where it may have caused it. */
+  /** Number of crashes that the task may have caused, including this one if applicable. */
   readonly crashCount: number;
-  /** Whether the task is to blame, so that it must not be started again. */
+  /** Whether the task is taken to be the cause, so that it must not be started again. */
   readonly isToBlame: boolean;
 }
 
 /**
- * Time after which a target has borne a run, in milliseconds: a task that crashes the targets which
- * start it does so at once, and the longer this is, the more crashes by chance fall into it.
+ * Time after which a run counts as stable, in milliseconds. A task that crashes its targets on
+ * start does so immediately, and a longer time would include more unrelated crashes.
  */
 export const PROVEN_MS = 150;
-/** Time after which earlier crashes say nothing of a task any more, in milliseconds. */
+/** Run time after which the earlier crashes of a task are disregarded, in milliseconds. */
 const CLEARED_MS = 30_000;
-/** Crashes after which a task is to blame that was never the only one to have just begun. */
+/** Crashes after which a task is the cause although it was never the only recently started one. */
 const MAX_CRASHES = 4;
-/** Crashes of a task to blame: one may be chance, as each target fails once in a while. */
+/** Least crashes of a task that is the cause: one may be chance, as each target fails at times. */
 const MIN_CRASHES = 2;
 
 /**
- * Tells whether a target has borne a run for long enough that its start does not crash it.
- * @param survivedMs - For how long the target is known to have borne it, in milliseconds.
- * @returns Whether it has.
+ * Tells whether a run has lasted long enough that its start did not crash the target.
+ * @param survivedMs - How long the target is known to have executed the run, in milliseconds.
+ * @returns Whether the run is stable.
  */
 export function isProvenRun(survivedMs: number): boolean {
   return survivedMs >= PROVEN_MS;
@@ -44,12 +44,15 @@
 }
 
 /**
- * What a crash is worth as evidence. It is weak where the target was lost with others of its rack,
- * or may be one that crashes again and again whatever it runs.
+ * Strength of a crash as evidence against the runs on the target. It is weak if other targets of
+ * the rack were lost too, or if the target may be one that keeps crashing regardless of its runs.
  */
 export type CrashEvidence = 'strong' | 'weak';
 
-/** A long-running task is on many targets that crash under others that have just begun there. */
+/**
+ * Tells whether a run may have caused the crash. A long-running task is not suspected while other
+ * runs were just started: it is present on many targets that such runs crash.
+ */
 function mayHaveCaused(run: CrashedRun, evidence: CrashEvidence, hasRecent: boolean): boolean {
   if (!run.isSent || run.survivedMs >= CLEARED_MS) return false;
   if (evidence === 'weak') return isRecent(run);
@@ -57,15 +60,15 @@
 }
 
 /**
- * Decides which of the runs on a target that has crashed may have caused that, and which of their
- * tasks is to blame for certain enough that it is given up.
+ * Decides which runs may have caused the crash of their target, and which task is certain enough to
+ * be the cause that it is not started again.
  *
- * A task is to blame that was under suspicion before, where no task of another job had just begun:
- * which task of a job it is changes nothing for the job. One that crashes its targets later, or is
- * never the only one, is to blame after some more crashes.
- * @param runs - All runs that were on the target, sent or not.
- * @param evidence - What the crash is worth; a weak one counts only for what had just begun.
- * @returns What follows for the task of each run, in the same order.
+ * A task that was suspected before is the cause if no task of another job had just started. Several
+ * recently started tasks of one job don't matter, since the outcome for the job is the same. A task
+ * that crashes its targets later, or is never the only recent one, needs more crashes.
+ * @param runs - All runs that were on the target, whether their start was sent or not.
+ * @param evidence - Strength of the evidence; a weak crash counts only for recently started runs.
+ * @returns The result for the task of each run, in the same order.
  */
 export function blameCrash(
   runs: readonly CrashedRun[],
--- a/src/systems/countWholeVms.ts
+++ b/src/systems/countWholeVms.ts
@@ -6,7 +6,7 @@
 import type { RunTimes } from './RunTimes.js';
 import { getStepKey, type PlacementTarget, TargetRoom } from './TargetRoom.js';
 
-/** What {@link countWholeVms} decides over. */
+/** Input of {@link countWholeVms}. */
 export interface CountWholeVmsInput {
   /** Jobs of one pool. */
   readonly rows: readonly DurableJobRow[];
@@ -17,7 +17,7 @@
   readonly nowMs: number;
 }
 
-/** Room of each target once all tasks with an end of their own have ended. */
+/** Lists the free capacity of each target with only its long-running tasks. */
 function listLastingRooms({ rows, targets }: CountWholeVmsInput): readonly TargetRoom[] {
   const rooms = new Map(
     targets.map((target) => [target.targetId, new TargetRoom({ ...target, takesTasks: true })]),
@@ -30,15 +30,14 @@
 }
 
 /**
- * Counts the VMs without long-running tasks that a pool needs for waiting tasks which fit beside
- * the long-running ones of no target.
+ * Counts the VMs without long-running tasks ("whole VMs") that a pool needs for waiting tasks that
+ * don't fit on any target next to its long-running tasks.
  *
- * Guards against an accepted job that never runs: a task of 29 of 32 cores waits for good where
- * each VM carries a long-running task, and the pool gets no VM as it has processor enough in sum.
- * Tasks that fit on no empty target either, or that need a label, are left out: another VM may not
- * help them.
+ * Without such VMs, an accepted job may never run: a task of 29 of 32 cores waits forever if each
+ * VM runs a long-running task, and the pool gets no VM since its total CPU suffices. Tasks that
+ * need a label or don't fit on an empty target are ignored, since another VM may not help them.
  * @param input - Jobs and targets of the pool.
- * @returns How many catch up with such tasks in time.
+ * @returns Number of VMs that complete such tasks within the catch-up time.
  */
 export function countWholeVms(input: CountWholeVmsInput): number {
   const { rows, targets, runTimes, nowMs } = input;
--- a/src/systems/estimateNeededCpu.ts
+++ b/src/systems/estimateNeededCpu.ts
@@ -5,35 +5,35 @@
 import type { RunTimes } from './RunTimes.js';
 import { getOccupied } from './TargetRoom.js';
 
-/** What {@link estimateNeededCpu} decides over. */
+/** Input of {@link estimateNeededCpu}. */
 export interface NeededCpuInput {
   /** Jobs of one pool. */
   readonly rows: readonly DurableJobRow[];
   readonly runTimes: RunTimes;
-  /** Processor of the pool's targets that take tasks, in thousandths of a core. */
+  /** CPU of the pool's targets that accept tasks, in thousandths of a core. */
   readonly capacityCpuMillicores: number;
-  /** Processor that would keep up with what arrives, in thousandths of a core. */
+  /** CPU that keeps up with the arriving work, in thousandths of a core. */
   readonly arrivingCpuMillicores: number;
   /** Wall-clock time in milliseconds since the Unix epoch. */
   readonly nowMs: number;
-  /** What is on; everything where it is absent. */
+  /** Enabled mechanisms; all if absent. */
   readonly mechanisms?: Mechanisms;
 }
 
-/** Time from the order of a VM to its first task, in milliseconds: moving takes 1.5 s of it. */
+/** Time from the order of a VM to its first task, in ms; the move takes 1.5 s of it. */
 const VM_LEAD_MS = 2_000;
 
-/** What a pool needs, in thousandths of a core. */
+/** CPU that a pool needs, in thousandths of a core. */
 export interface NeededCpu {
   readonly neededCpuMillicores: number;
-  /** The part of it for work that is too late for its objective. */
+  /** Part of the need for work that is too late for its objective. */
   readonly lateCpuMillicores: number;
 }
 
-/** Processor of the tasks of some jobs, in thousandths of a core. */
+/** CPU of the tasks of several jobs, in thousandths of a core. */
 interface TaskCpu {
   readonly longRunning: number;
-  /** Of tasks that end by themselves and are given to targets. */
+  /** CPU of the placed tasks that are not long-running. */
   readonly placed: number;
 }
 
@@ -56,15 +56,15 @@
 }
 
 /**
- * Estimates the processor that a pool needs by the time at which a VM ordered now is there: for its
- * long-running tasks, for what keeps arriving, and for the work that the pool will have left behind
- * by then. Never less than what runs in time; work that is too late waits for what others leave.
+ * Estimates the CPU that a pool needs when a VM ordered now becomes available: for its long-running
+ * tasks, for arriving work, and for the backlog expected by then. The need is never less than the
+ * CPU of running tasks that are on time. Late work gets only capacity that others don't need.
  *
- * Answers rushes that move on from pool to pool. Where a pool keeps up, what it has left to do asks
- * for nothing; counted in full, it kept ten idle VMs in a pool whose rush was nearly over while the
- * next one waited. Where it does not keep up, it gets VMs before its queue has grown.
- * @param input - Jobs and capacity of the pool, and what arrives.
- * @returns The need, and which part of it can wait.
+ * Load peaks move from pool to pool. A backlog causes no need where the pool keeps up with it:
+ * counted in full, it kept ten idle VMs in a pool at the end of its peak while the next pool waited
+ * for VMs. A pool that does not keep up gets VMs before its queue grows.
+ * @param input - Jobs and capacity of the pool, and the arriving work.
+ * @returns The need, and the part of it that can wait.
  */
 export function estimateNeededCpu(input: NeededCpuInput): NeededCpu {
   const { rows, runTimes, capacityCpuMillicores, arrivingCpuMillicores, nowMs } = input;
--- a/src/systems/learnedSize.ts
+++ b/src/systems/learnedSize.ts
@@ -1,20 +1,22 @@
 import type { PoolTables, QueuedRow } from '../tables/index.js';
 
-/** Runs from which on measurements count for more than the declaration. */
+/** Runs from which on measurements take precedence over the declaration. */
 export const MIN_LEARNED_RUN_COUNT = 5;
-/** Least share of the declared memory that is set aside, however little was measured. */
+/** Smallest share of the declared memory to allocate, however little was measured. */
 export const MEMORY_FLOOR_FRACTION = 0.5;
-/** What a job takes on a VM. */
+
+/** Resources that a job occupies on a VM. */
 export interface JobSize {
   readonly coreCount: number;
   readonly memoryMb: number;
 }
 
 /**
- * Sizes a request by what its kind was measured to need; the declaration is only a prior.
- * @param tables - State of the pool with the history of its kinds.
+ * Estimates the resources for a request from the measured usage of its job kind. The declared size
+ * serves as the initial estimate.
+ * @param tables - State of the pool with the history of its job kinds.
  * @param request - The request with its declared size.
- * @returns Cores and memory to set aside.
+ * @returns Cores and memory to allocate.
  */
 export function learnedSize(tables: PoolTables, request: QueuedRow): JobSize {
   const history = tables.history.get(request.jobKind);
--- a/src/systems/listOccupants.ts
+++ b/src/systems/listOccupants.ts
@@ -2,7 +2,7 @@
 import { memoizeByObject } from '../utils/index.js';
 import { getStepKey } from './TargetRoom.js';
 
-/** A task that takes room on a target. */
+/** The allocation of a placed task on its target. */
 export interface Occupant {
   readonly targetId: string;
   readonly stepKey: string;
@@ -10,9 +10,9 @@
 }
 
 /**
- * Lists the tasks of a job that take room on targets.
+ * Lists the allocations of a job on targets.
  * @param row - The job.
- * @returns One for each placed task.
+ * @returns One allocation for each placed task.
  */
 export const listOccupants = memoizeByObject((row: DurableJobRow): readonly Occupant[] =>
   listPlacedTasks(row).map(({ task: { occurrence, step, targetId } }) => ({
--- a/src/systems/listReadyTasks.ts
+++ b/src/systems/listReadyTasks.ts
@@ -1,11 +1,11 @@
 import { type DurableJobRow, isFinished } from '../jobs/index.js';
 import { groupBy, memoizeByObject } from '../utils/index.js';
 
-/** Tasks of one step and occurrence that wait and whose turn has come. */
+/** Waiting tasks of one step and occurrence that may start. */
 export interface ReadyTasks {
   readonly step: number;
   readonly occurrence: number;
-  /** Places of the tasks among the job's tasks. */
+  /** Indexes of the tasks in the job's list of tasks. */
   readonly positions: readonly number[];
 }
 
@@ -15,7 +15,7 @@
   return nowMs >= firstDueAtMs + occurrence * intervalMs;
 }
 
-/** Lists the waiting tasks that no step before them holds up, whether or not they are due. */
+/** Lists the waiting tasks whose preceding steps are done, whether or not they are due. */
 const listUnblockedTasks = memoizeByObject((row: DurableJobRow): readonly ReadyTasks[] => {
   if (isFinished(row)) return [];
   const waiting = row.tasks
@@ -43,10 +43,10 @@
 
 /**
  * Lists the waiting tasks of a job that may start: their occurrence is due and every task of the
- * steps before them is done.
+ * preceding steps is done.
  * @param row - The job.
  * @param nowMs - Wall-clock time in milliseconds since the Unix epoch.
- * @returns The tasks by step and occurrence, none of an empty list.
+ * @returns The tasks by step and occurrence; no group is empty.
  */
 export function listReadyTasks(row: DurableJobRow, nowMs: number): readonly ReadyTasks[] {
   const unblocked = listUnblockedTasks(row);
--- a/src/systems/listSuspects.ts
+++ b/src/systems/listSuspects.ts
@@ -10,7 +10,7 @@
 /**
  * Tells whether a task may have crashed a target.
  * @param task - The task.
- * @returns Whether it is under suspicion.
+ * @returns Whether the task is a suspect.
  */
 export function isSuspect({ crashCount }: TaskRow): boolean {
   return crashCount > 0;
@@ -19,7 +19,7 @@
 /**
  * Lists the placed tasks of a job that may have crashed a target before.
  * @param row - The job.
- * @returns One for each of them.
+ * @returns The tasks with their current targets.
  */
 export const listSuspects = memoizeByObject((row: DurableJobRow): readonly PlacedSuspect[] =>
   listPlacedTasks(row)
--- a/src/systems/listUntouchedVms.ts
+++ b/src/systems/listUntouchedVms.ts
@@ -1,10 +1,10 @@
 import type { PoolTables, PoolVmRow, WaveRow } from '../tables/index.js';
 
 /**
- * Lists the VMs of a pool that a wave has still to maintain.
+ * Lists the VMs of a pool that a wave has not yet maintained.
  * @param tables - State of the pool.
  * @param wave - The wave.
- * @returns VMs that are there, without a step in the wave.
+ * @returns The live VMs without a step in the wave.
  */
 export function listUntouchedVms(tables: PoolTables, wave: WaveRow): readonly PoolVmRow[] {
   return tables.vms
--- a/src/systems/mechanisms.ts
+++ b/src/systems/mechanisms.ts
@@ -1,49 +1,49 @@
 /**
- * Mechanisms of the decisions about durable jobs and VMs that can be switched off, so that what
- * each is worth can be measured: the closed list of the settings.
+ * Scheduling mechanisms for durable jobs and VMs that the settings can disable, so that the effect
+ * of each can be measured. This is the complete list of names that the settings accept.
  */
 export const MECHANISMS = [
-  /** Jobs that are too late for their objective get room last. */
+  /** Jobs that are too late for their objective are placed last. */
   'late-jobs-last',
-  /** Jobs of which something has run get room before others. */
+  /** Jobs that have started are placed before others. */
   'started-jobs-first',
-  /** Where a pool cannot keep up, the newest jobs get room first. */
+  /** In an overloaded pool, the newest jobs are placed first. */
   'newest-first-in-overload',
-  /** Run times are estimated by what has been measured, not by what callers declare. */
+  /** Run times are estimated from measurements instead of the callers' declarations. */
   'learned-run-times',
-  /** Tasks go to the fullest target with room, so that others fall idle. */
+  /** Tasks go to the fullest target with sufficient free capacity, so that others become idle. */
   'fullest-target-first',
-  /** Demand counts what arrives and what will be left behind, not only what runs. */
+  /** Demand includes arriving work and the expected backlog, not only running tasks. */
   'arriving-demand',
-  /** Arrivals that grow are taken to grow on until a VM is there. */
+  /** A rising arrival rate is extrapolated to the time at which an ordered VM is available. */
   'rise-foreseen',
-  /** Work that is too late for its objective claims no VMs that another pool needs. */
+  /** Work that is too late for its objective gets no VMs that another pool needs. */
   'late-work-yields',
   /** VMs move between pools. */
   'vm-moves',
-  /** Idle pools keep VMs by the peak that was seen of them, not a fixed count. */
+  /** Idle pools keep a reserve of VMs relative to their observed peak, not a fixed number. */
   'kept-by-peak',
-  /** Idle pools give what they keep where another pool is short. */
+  /** Idle pools give up their reserve if another pool is short of VMs. */
   'kept-yields-in-shortage',
-  /** Waves count with the time that their steps were seen to take. */
+  /** Waves are planned with the observed durations of their steps. */
   'observed-wave-steps',
-  /** Targets that fail what they start are avoided. */
+  /** Targets on which tasks keep failing are avoided. */
   'failing-targets-avoided',
 ] as const;
 
-/** One mechanism that can be switched off. */
+/** Name of a mechanism that can be disabled. */
 export type Mechanism = (typeof MECHANISMS)[number];
 
-/** The mechanisms that are on. */
+/** The enabled mechanisms. */
 export type Mechanisms = ReadonlySet<Mechanism>;
 
-/** Every mechanism, as daemons run. */
+/** All mechanisms, which is the default of daemons. */
 export const ALL_MECHANISMS: Mechanisms = new Set(MECHANISMS);
 
 /**
- * Lists the mechanisms that are on where some are off.
- * @param off - Those that are off.
- * @returns The others.
+ * Returns all mechanisms except some.
+ * @param off - The mechanisms to disable.
+ * @returns The enabled mechanisms.
  */
 export function switchOff(off: readonly Mechanism[]): Mechanisms {
   return new Set(MECHANISMS.filter((mechanism) => !off.includes(mechanism)));
--- a/src/systems/noteLosses.ts
+++ b/src/systems/noteLosses.ts
@@ -2,8 +2,8 @@
 import { isLost } from './vmStates.js';
 
 /**
- * Keeps the time since which each lost VM of a pool has been lost.
- * @param tables - State of the pool; its losses are brought up to date.
+ * Updates the table that stores since when each lost VM of a pool has been lost.
+ * @param tables - State of the pool, whose losses are updated.
  * @param nowMs - Monotonic time, in milliseconds.
  */
 export function noteLosses(tables: PoolTables, nowMs: number): void {
--- a/src/systems/orderJobs.ts
+++ b/src/systems/orderJobs.ts
@@ -8,29 +8,30 @@
   readonly runTimes: RunTimes;
   /** Wall-clock time in milliseconds since the Unix epoch. */
   readonly nowMs: number;
-  /** What is on; everything where it is absent. */
+  /** Enabled mechanisms; all if absent. */
   readonly mechanisms?: Mechanisms;
 }
 
-/** A job with what decides about its place. */
+/** A job with its sort criteria. */
 interface Ranked {
   readonly row: DurableJobRow;
-  /** Class of the job; lower ones come first whatever their objectives. */
+  /** Class of the job; lower classes come first regardless of their objectives. */
   readonly rank: number;
   readonly isStarted: boolean;
-  /** Latest time at which the rest of the job has to start to meet the objective. */
+  /** Latest time at which the remaining work must start to meet the objective. */
   readonly startByMs: number;
-  /** Share of the time to wait that has passed; from 1 on the job is late. */
+  /** Share of the allowed waiting time that has passed; the job is late from 1. */
   readonly waitedShare: number;
 }
 
-/** Place of long-running services, before every priority. */
+/** Rank of long-running services, before every priority. */
 const SERVICE_RANK = -1;
-/** Added to the priority of jobs that are too late for their objective; above any priority. */
+/** Added to the priority of jobs that are too late for their objective; exceeds any priority. */
 const LATE_RANK = 1_000;
 /**
- * Share of its time to wait after which a waiting job shows that its pool cannot keep up. Estimates
- * are off by half, so with less left about half of such jobs come late though they get room.
+ * Share of its allowed waiting time after which a waiting job indicates that its pool is
+ * overloaded. Estimates are off by half, so with less time left about half of such jobs miss their
+ * objective even if they are placed.
  */
 const OVERLOAD_SHARE = 0.5;
 
@@ -52,7 +53,7 @@
   return rank >= LATE_RANK;
 }
 
-/** Finds the pools in which a job that has not begun has waited too long to be sure of its time. */
+/** Lists the pools in which an unstarted job has waited too long to meet its objective safely. */
 function listOverloaded(ranked: readonly Ranked[]): ReadonlySet<string> {
   return new Set(
     ranked
@@ -63,18 +64,18 @@
 }
 
 /**
- * Orders jobs for placement: long-running services first, since each second without them costs,
- * then by priority; jobs that cannot meet their objective any more come last. Among the others
- * those that have begun come first, since their work is lost to their callers if they end late, and
- * a wide step is as late as its last task. Then comes the job that has to start soonest; where the
- * pool cannot keep up, the newest.
+ * Orders jobs for placement. Long-running services come first, since each second of their downtime
+ * has a cost. The others are ordered by priority, and jobs that can no longer meet their objective
+ * come last. Within a priority, started jobs come first: their work is lost to their callers if
+ * they end late, and a step with many tasks is as late as its last one. Next comes the job that
+ * must start soonest, or the newest job if the pool is overloaded.
  *
- * Answers rushes that ask for more than a pool holds. By the objective alone each job would get its
- * room when it is just too late, and in a rush nearly all would be late. With the newest first,
- * those that get room are in time for certain, and as many are served as there is room for.
+ * Newest-first order handles load peaks that exceed the capacity of a pool. Ordered by objective
+ * alone, each job would be placed when it is just too late, and nearly all jobs of a peak would be
+ * late. With the newest first, every placed job is on time, and as many jobs are served as fit.
  * @param jobs - The jobs.
- * @param options - What has been learned of run times, and the time.
- * @returns The unfinished ones in their order.
+ * @param options - Learned run times, current time and enabled mechanisms.
+ * @returns The unfinished jobs in placement order.
  */
 export function orderJobs(
   jobs: readonly DurableJobRow[],
--- a/src/systems/placeTasks.ts
+++ b/src/systems/placeTasks.ts
@@ -7,28 +7,28 @@
 import { PoolRooms } from './PoolRooms.js';
 import { getStepKey, type PlacementTarget, TargetRoom } from './TargetRoom.js';
 
-/** A task that is to start on a target. */
+/** A task and the target on which it is to start. */
 export interface TaskPlacement {
   readonly jobId: string;
-  /** Place of the task among its job's tasks. */
+  /** Index of the task in its job's list of tasks. */
   readonly position: number;
   readonly targetId: string;
-  /** Processor of the target that was free before, in thousandths of a core. */
+  /** CPU of the target that was free before the placement, in thousandths of a core. */
   readonly freeCpuMillicores: number;
 }
 
-/** What {@link placeTasks} decides over. */
+/** Input of {@link placeTasks}. */
 export interface PlaceTasksInput {
-  /** Unfinished jobs in the order in which they get room. */
+  /** Unfinished jobs in placement order. */
   readonly jobs: readonly DurableJobRow[];
-  /** Every job with tasks on targets, also finished ones that are being stopped. */
+  /** Every job with tasks on targets, including finished jobs that are being stopped. */
   readonly occupants: readonly DurableJobRow[];
   readonly targets: readonly PlacementTarget[];
-  /** Targets on which a task has failed before; another one is preferred. */
+  /** Returns the targets on which a task has failed before; other targets are preferred. */
   readonly failedOn: (jobId: string, position: number) => ReadonlySet<string>;
   /** Wall-clock time in milliseconds since the Unix epoch. */
   readonly nowMs: number;
-  /** What is on; everything where it is absent. */
+  /** Enabled mechanisms; all if absent. */
   readonly mechanisms?: Mechanisms;
 }
 
@@ -41,12 +41,16 @@
 }
 
 /**
- * Chooses the fullest target that has room, so that others fall idle and can change their pool.
- * With tasks spread evenly, a pool whose rush is over keeps every VM until its last task ends. A
- * target that long-running tasks hold anyway comes first. The rack of the data goes before that:
- * elsewhere the task takes longer. A task of a step that may lose only some tasks at a time goes
- * where the step has fewest, so that maintenance meets few of them. A task that may have crashed a
- * target goes where least is lost if it crashes the next one.
+ * Chooses the fullest target with sufficient free capacity (bin packing), so that other targets
+ * become idle and can move to another pool. If tasks were spread evenly, a pool would keep every VM
+ * after a load peak until the last task ends. These criteria come first, the strongest first:
+ *
+ * - A task that may have crashed a target goes where another crash would cost least.
+ * - Targets on which the task has failed before are avoided.
+ * - The rack of the task's data is preferred, since the task takes longer elsewhere.
+ * - A task of a step with a limit on unavailable tasks goes to the target with the fewest tasks of
+ *   that step, so that maintenance affects few of them at a time.
+ * - Targets that already run long-running tasks come first, since these never become idle.
  */
 function chooseRoom(
   rooms: readonly TargetRoom[],
@@ -81,7 +85,7 @@
     )?.room;
 }
 
-/** Tasks of one step and occurrence, and the rooms that may take them. */
+/** Ready tasks of one step and occurrence, and how targets are chosen for them. */
 interface StepPlacement {
   readonly row: DurableJobRow;
   readonly ready: ReadyTasks;
@@ -91,7 +95,7 @@
   readonly isFullestFirst: boolean;
 }
 
-/** Places the tasks one by one until one finds no room; the others of the step would find none. */
+/** Places tasks one by one until one does not fit; the others of the step would not fit either. */
 function placeInTurn(
   { row, ready, step, stepKey, failedOn, isFullestFirst }: StepPlacement,
   rooms: readonly TargetRoom[],
@@ -112,7 +116,7 @@
   });
 }
 
-/** Places all members of a gang in some rooms, or none. */
+/** Places all members of a gang on the given targets, or none. */
 function placeMembers(
   placement: StepPlacement,
   rooms: readonly TargetRoom[],
@@ -132,8 +136,8 @@
 }
 
 /**
- * Places a gang whole or not at all, on one rack where it wants that and one has room. Members that
- * wait for others without room would hold their resources for nothing, and end alone.
+ * Places a gang completely or not at all, on a single rack if it wants that and fits on one.
+ * Members that wait for unplaced ones would occupy resources without progress, and end alone.
  */
 function placeGang(
   placement: StepPlacement,
@@ -149,9 +153,9 @@
 }
 
 /**
- * Gives waiting tasks to targets with room for them.
- * @param input - Jobs in their order, targets, and the time.
- * @returns The placements; a gang is placed whole or not at all.
+ * Assigns waiting tasks to targets with sufficient free capacity.
+ * @param input - Jobs in placement order, targets, and the current time.
+ * @returns The placements; a gang is placed completely or not at all.
  */
 export function placeTasks(input: PlaceTasksInput): readonly TaskPlacement[] {
   const { jobs, occupants, targets, failedOn, nowMs, mechanisms = ALL_MECHANISMS } = input;
--- a/src/systems/planEvacuations.ts
+++ b/src/systems/planEvacuations.ts
@@ -1,29 +1,30 @@
 import { type DurableJobRow, isFinished, isLongRunning } from '../jobs/index.js';
 import { getStepKey } from './TargetRoom.js';
 
-/** A task that is to be stopped so that it starts again elsewhere. */
+/** A task that is to be stopped and restarted on another target. */
 export interface Evacuation {
   readonly jobId: string;
-  /** Place of the task among its job's tasks. */
+  /** Index of the task in its job's list of tasks. */
   readonly position: number;
 }
 
-/** What {@link planEvacuations} decides over. */
+/** Input of {@link planEvacuations}. */
 export interface PlanEvacuationsInput {
   readonly jobs: readonly DurableJobRow[];
-  /** Targets that are being emptied. */
+  /** Targets that are being drained. */
   readonly drainedTargets: ReadonlySet<string>;
-  /** Whether a placed task is known to be at work at this moment. */
+  /** Tells whether a placed task is known to be running now. */
   readonly isAtWork: (row: DurableJobRow, position: number) => boolean;
 }
 
 /**
- * Chooses the long-running tasks that leave targets which are being emptied. Tasks with an end of
- * their own are left to end.
+ * Chooses the long-running tasks to stop on targets that are being drained. Other tasks are left to
+ * finish.
  *
- * A step may lose only so many tasks at a time by the system's own doing, so a task is stopped only
- * while enough of the others are at work; one of a step that can spare none stays.
- * @param input - Jobs, targets and what is at work.
+ * A step limits how many of its tasks the system may make unavailable at a time, so a task is
+ * stopped only while enough other tasks of its step are running. A task of a step with a limit of
+ * zero is never stopped.
+ * @param input - Jobs, drained targets, and which tasks are running.
  * @returns The tasks to stop.
  */
 export function planEvacuations(input: PlanEvacuationsInput): readonly Evacuation[] {
--- a/src/systems/planMaintenance.ts
+++ b/src/systems/planMaintenance.ts
@@ -2,50 +2,54 @@
 import type { FleetVm } from '../vms/index.js';
 import type { TargetLoad } from './PoolDemand.js';
 
-/** A wave of maintenance as operators have ordered it, and how far it is. */
+/** A maintenance wave ordered by operators, and its progress. */
 export interface MaintenanceWave {
   readonly wave: number;
   readonly vms: readonly string[];
   /** Most VMs of the wave that may be down for it at the same time. */
   readonly maxDownCount: number;
-  /** Monotonic time by which every VM has to have begun, in milliseconds. */
+  /** Monotonic time by which the maintenance of every VM must have started, in milliseconds. */
   readonly deadlineMs: number;
-  /** VMs whose maintenance has begun, or that need none any more. */
+  /** VMs whose maintenance has started or is no longer needed. */
   readonly doneVms: ReadonlySet<string>;
 }
 
-/** What {@link planMaintenance} decides over. */
+/** Input of {@link planMaintenance}. */
 export interface PlanMaintenanceInput {
   readonly wave: MaintenanceWave;
   readonly vms: readonly FleetVm[];
-  /** Load of each target that a home has told of. */
+  /** Load of each target that a home has reported. */
   readonly loads: ReadonlyMap<string, TargetLoad>;
   /** VMs that are being drained for the wave or are down for it. */
   readonly inProgress: ReadonlySet<string>;
   /** Monotonic time in milliseconds. */
   readonly nowMs: number;
-  /** Time that a VM is out, in milliseconds, as seen; {@link STEP_MS} where it is absent. */
+  /** Observed time that a VM is out of service, in milliseconds; {@link STEP_MS} if absent. */
   readonly stepMs?: number;
 }
 
-/** Time that a VM is out at most: its tasks end within about 4 s, and the maintenance takes 2 s. */
+/**
+ * Longest time that a VM is out of service, in milliseconds: its tasks end within about 4 s, and
+ * the maintenance takes 2 s.
+ */
 export const STEP_MS = 6_000;
-/** Time kept free at the end of a wave for VMs that take long, in milliseconds. */
+/** Safety margin before the deadline of a wave for slow VMs, in milliseconds. */
 const SPARE_MS = 4_000;
-/** Share of a pool's VMs that may be out for a wave at once while it is on time. */
+/** Share of a pool's VMs that may be out of service at once while the wave is on schedule. */
 const MAX_POOL_SHARE = 0.34;
 const MIN_LEFT_MS = 1_000;
 
-/** VMs that must be out at once to end in time, counted from what is left of both. */
+/** Counts the VMs that must be out of service at once to complete the wave in time. */
 function countNeededAtOnce(remainingCount: number, leftMs: number, stepMs: number): number {
   return Math.ceil((remainingCount * stepMs) / Math.max(leftMs, MIN_LEFT_MS));
 }
 
 /**
- * Chooses the VMs that are drained next for a wave: only as many at once as it needs to end in
- * time, those without work first, and never more of a pool than it can spare.
+ * Chooses the VMs to drain next for a wave: only as many at once as are needed to complete the wave
+ * in time, those with the fewest runs first. While the wave is on schedule, no pool has more VMs
+ * out of service than its limit.
  * @param input - The wave, the VMs and their load.
- * @returns Names of the VMs, the first one first.
+ * @returns Names of the VMs, in the order in which they are to be drained.
  */
 export function planMaintenance(input: PlanMaintenanceInput): readonly string[] {
   const { wave, vms, loads, inProgress, nowMs, stepMs = STEP_MS } = input;
--- a/src/systems/planMoves.ts
+++ b/src/systems/planMoves.ts
@@ -1,65 +1,66 @@
 import type { FleetVm } from '../vms/index.js';
 import { indexLoads, type PoolDemand, type TargetLoad } from './PoolDemand.js';
 
-/** A VM that is to change its pool. */
+/** A move of a VM to another pool. */
 export interface VmMove {
   readonly vm: string;
   readonly fromPool: string;
   readonly toPool: string;
 }
 
-/** What {@link planMoves} decides over. */
+/** Input of {@link planMoves}. */
 export interface PlanMovesInput {
   readonly demands: readonly PoolDemand[];
   readonly vms: readonly FleetVm[];
-  /** Pools whose VMs are switched off until they are moved elsewhere. */
+  /** Pools whose VMs are powered off until they move to another pool. */
   readonly standbyPools: ReadonlySet<string>;
-  /** VMs that are left alone: drained, moving, in a wave, or moved a moment ago. */
+  /** VMs that must not be moved: drained, moving, in a wave, or moved recently. */
   readonly heldVms: ReadonlySet<string>;
-  /** Held VMs that work on where they are: an earlier home has just ordered them. */
+  /** Held VMs that stay in service in their pool: an earlier home has recently moved them there. */
   readonly stayingVms?: ReadonlySet<string>;
-  /** VMs on their way to each pool. */
+  /** Number of VMs that are moving to each pool. */
   readonly arrivingByPool: ReadonlyMap<string, number>;
-  /** VMs that each pool keeps without a need; {@link MIN_KEPT_COUNT} where it is absent. */
+  /** Reserve VMs that each pool keeps without load; {@link MIN_KEPT_COUNT} if absent. */
   readonly keptCounts?: ReadonlyMap<string, number>;
-  /** Whether idle pools give of what they keep where another pool is short. */
+  /** Whether idle pools give up part of their reserve if another pool is short of VMs. */
   readonly yieldsKept?: boolean;
 }
 
-/** Processor of one VM where no target of the pool tells it, in thousandths of a core. */
+/** Assumed CPU of one VM if the pool has no target, in thousandths of a core. */
 const TYPICAL_VM_MILLICORES = 32_000;
-/** Least VMs that a pool without work keeps, for the first tasks of its next rush. */
+/** Least reserve VMs of a pool without work, for the first tasks of its next load peak. */
 export const MIN_KEPT_COUNT = 3;
 /**
- * VMs that a pool without work keeps while another pool is short. A rush at its height asked for
- * 1,200 cores and had 600, while three idle pools kept 16 VMs of 32 cores for rushes to come.
+ * Reserve VMs of a pool without work while another pool is short of VMs. Otherwise a pool whose
+ * load peak needed 1,200 cores had 600, while three idle pools kept 16 VMs of 32 cores in reserve.
  */
 const MIN_KEPT_IN_SHORTAGE = 2;
 /**
- * Most VMs that are ordered at once for one pool: half of the 64 calls a second that the platform
- * takes. A pool of 50 targets whose rush begins asks for 45; at 8 a look the last waited for 2 s.
+ * Most VMs that are ordered at once for one pool: half of the 64 calls per second that the platform
+ * accepts. At the start of a load peak, a pool of 50 targets needs 45; with a limit of 8 per
+ * planning round, the last one waited for 2 s.
  */
 const MAX_MOVES_PER_POOL = 32;
 
 const NO_VMS: ReadonlySet<string> = new Set();
 
-/** A pool with the VMs that it has, or is about to have, and needs. */
+/** VMs that a pool has or is about to have, compared with its needs. */
 interface PoolBalance {
   readonly demand: PoolDemand;
-  /** Those that may be given away. */
+  /** VMs of the pool that are up and may be moved. */
   readonly upVms: readonly FleetVm[];
   readonly haveCount: number;
-  /** VMs that carry what runs and waits now; never more than the need. */
+  /** VMs needed for the tasks that run or wait now; at most the total need. */
   readonly presentCount: number;
-  /** VMs that are needed by the time at which one that is ordered now is there. */
+  /** VMs needed by the time at which a VM that is ordered now is available. */
   readonly needCount: number;
-  /** Those of them that work in time needs. */
+  /** Part of the total need for work that is not too late for its objective. */
   readonly timelyCount: number;
-  /** VMs that the pool keeps without a need. */
+  /** Reserve VMs that the pool keeps without load. */
   readonly idleCount: number;
-  /** VMs that the pool does not give away. */
+  /** VMs that the pool does not give to other pools. */
   readonly keptCount: number;
-  /** VMs without long-running tasks, there or on their way, beyond those that tasks need whole. */
+  /** VMs without long-running tasks, present or arriving, that exceed the need for whole VMs. */
   readonly spareWholeCount: number;
 }
 
@@ -70,17 +71,17 @@
   return targetId === undefined ? undefined : loads.get(targetId);
 }
 
-/** Tells whether a VM is known to carry no long-running task. */
+/** Tells whether a VM is known to run no long-running task. */
 function isWhole(vm: FleetVm, loads: ReadonlyMap<string, TargetLoad>): boolean {
   return getLoad(loads, vm)?.longRunningCount === 0;
 }
 
 /**
- * Compares what a pool has with what it needs.
+ * Compares the VMs of a pool with its needs.
  *
- * Guards against VMs that are ordered twice: those that an earlier home had moved into a pool are
- * left alone for a while, and not counted they would be missed the moment they are up. A pool with
- * a need of 124 had 182 VMs then, and the next one began its rush with 3.
+ * VMs that an earlier home has recently moved into the pool must not be moved, but are counted.
+ * Otherwise they would seem to be missing once they are up, and would be ordered twice: a pool with
+ * a need of 124 VMs had 182, and the next pool started its load peak with 3.
  */
 function balancePool(
   demand: PoolDemand,
@@ -112,21 +113,21 @@
   };
 }
 
-/** VMs that a pool is to get. */
+/** Number of VMs that a pool lacks and is to get. */
 interface WantedVms {
   readonly pool: string;
   readonly count: number;
 }
 
-/** Puts the VMs with the fewest tasks first, and those of which nothing is known last. */
+/** Compares VMs by their number of runs in ascending order; VMs with unknown load come last. */
 function byRunCount(loads: ReadonlyMap<string, TargetLoad>): (a: FleetVm, b: FleetVm) => number {
   const getRunCount = (vm: FleetVm): number => getLoad(loads, vm)?.runCount ?? Infinity;
   return (a, b) => getRunCount(a) - getRunCount(b);
 }
 
 /**
- * VMs of a pool beyond what it needs and keeps, those with the fewest tasks first; one that still
- * works is emptied first. VMs with long-running tasks stay.
+ * Lists the VMs that exceed the need and the reserve of a pool, those with the fewest runs first. A
+ * VM that still runs tasks is drained before its move. VMs with long-running tasks stay.
  */
 function listSpareVms(
   { upVms, haveCount, spareWholeCount }: PoolBalance,
@@ -140,7 +141,7 @@
     .slice(0, Math.max(0, spareCount));
 }
 
-/** Spare VMs of all pools, given what each keeps; those with the fewest tasks first. */
+/** Lists the spare VMs of all pools, given what each one keeps; the fewest runs come first. */
 function listAllSpareVms(
   balances: readonly PoolBalance[],
   getKeptCount: (balance: PoolBalance) => number,
@@ -151,12 +152,12 @@
     .toSorted(byRunCount(loads));
 }
 
-/** Limits the VMs that a pool misses to those that are ordered at once. */
+/** Limits the number of VMs that are ordered at once for a pool. */
 function limitMoves(missingCount: number): number {
   return Math.min(MAX_MOVES_PER_POOL, Math.max(0, missingCount));
 }
 
-/** Pools that miss VMs, those that miss most first. */
+/** Lists the pools that lack VMs, those that lack most first. */
 function listWanted(
   balances: readonly PoolBalance[],
   getMissingCount: (balance: PoolBalance) => number,
@@ -168,10 +169,10 @@
 }
 
 /**
- * Lists what pools miss for tasks that fit on none of their VMs, then for all that runs and waits
- * now, and after that for what is foreseen. A foreseen need may be off by far: one of four times
- * the fleet took every VM that was free, while tasks of the pool whose rush had begun waited with
- * three VMs.
+ * Lists the VMs that pools lack, by priority: first for tasks that fit on none of their VMs, then
+ * for all tasks that run or wait now, and last for forecast load. Forecasts may be far off: one of
+ * four times the fleet took every free VM, while tasks of a pool at the start of its load peak
+ * waited with three VMs.
  */
 function listNeeded(balances: readonly PoolBalance[]): readonly WantedVms[] {
   const getWhole = ({ spareWholeCount }: PoolBalance): number => limitMoves(-spareWholeCount);
@@ -194,13 +195,13 @@
 }
 
 /**
- * Takes VMs from work that is too late for its objective and gives them to work in time that runs
- * or waits now and still misses some. What is only foreseen takes none: it may be off by far, and
- * late work that stands still meanwhile is soon worth nothing.
+ * Moves VMs from work that is too late for its objective to pools that still lack VMs for work that
+ * runs or waits and is on time. Forecast load gets none of them: forecasts may be far off, and late
+ * work that makes no progress meanwhile soon has no value.
  *
- * Answers rushes that ask for more than the fleet, one pool after the other: the first pool held 44
- * of 70 VMs for jobs that were worth a tenth by then, and in the next one, with six VMs, every job
- * came late in its turn.
+ * This handles successive load peaks that exceed the fleet: the first pool kept 44 of 70 VMs for
+ * jobs that had a tenth of their value left, and every job of the next pool, which had six VMs, was
+ * late.
  */
 function planYields(
   balances: readonly PoolBalance[],
@@ -223,14 +224,14 @@
 }
 
 /**
- * Gives VMs to pools that need more than they have: those that are switched off first, then those
- * that another pool does not need, with the fewest tasks first. Once needs are met, pools get back
- * what they keep for the front of their next rush. What idles then stays on: VMs that were switched
- * off for up to 10 s were paid for all the same, with 70 moves more a day.
+ * Plans moves of VMs to pools that need more than they have. VMs that are powered off move first,
+ * then VMs that other pools don't need, those with the fewest runs first. Once all needs are met,
+ * pools get back their reserves for the start of their next load peak. Idle VMs stay powered on:
+ * powering them off for up to 10 s saved no cost and caused 70 more moves a day.
  *
- * Answers a rush that moves from pool to pool and asks for more than one pool holds, while the
- * others idle: a VM does about fifteen times in worth of what it costs while tasks wait for it.
- * What arrives counts beside what waits, since a VM comes 2 s after its order and a rush lasts 5.
+ * A load peak moves from pool to pool and needs more VMs than one pool has, while the others idle.
+ * While tasks wait for a VM, its work is worth about fifteen times its cost. Arriving work counts
+ * as well as waiting work, since a VM takes 2 s to become available and a peak lasts 5 s.
  * @param input - Demand of the pools, and the VMs.
  * @returns The moves.
  */
@@ -253,7 +254,7 @@
           loads,
         )
       : [];
-  // The first ones are given first, so what is kept goes only where nothing else is left.
+  // VMs are assigned in this order, so reserves are used only when nothing else is left.
   const available = [...new Set([...standby, ...spare, ...kept])];
   const given = giveVms(wanted, available);
   const moves = [...given, ...planYields(balances, given, loads, yieldsKept)];
--- a/src/systems/planPace.ts
+++ b/src/systems/planPace.ts
@@ -1,39 +1,39 @@
-/** A serving task on a target: what its users see, and what they may see. */
+/** Measured latency of a serving task, and its latency target. */
 export interface ServingLoad {
   readonly latencyMs: number;
   readonly latencyTargetMs: number;
 }
 
-/** A best-effort task beside serving ones. */
+/** A best-effort task that shares its target with serving tasks. */
 export interface PacedTask {
   readonly taskName: string;
   readonly run: number;
-  /** Share of its full speed at which it works now, in percent. */
+  /** Current speed, as a percentage of full speed. */
   readonly percent: number;
 }
 
-/** A change of a best-effort task's speed. */
+/** A new speed for a best-effort task. */
 export interface PaceChange {
   readonly taskName: string;
   readonly run: number;
   readonly percent: number;
 }
 
-/** Share of a latency target from which best-effort tasks make room, before it is missed. */
+/** Share of a latency target above which best-effort tasks are slowed, before it is missed. */
 const TIGHT_SHARE = 0.85;
-/** Share of a latency target below which best-effort tasks may work more. */
+/** Share of a latency target below which best-effort tasks speed up again. */
 const EASY_SHARE = 0.6;
-/** First step down; the second one is to stand still, both within 2 s of the first report. */
+/** Speed after the first reduction; the second one pauses, both within 2 s of the first report. */
 const REDUCED_PERCENT = 30;
-/** Step up with each report: about seven seconds from nothing to full speed. */
+/** Increase with each report, which takes about seven seconds from a pause to full speed. */
 const RAISE_PERCENT = 15;
 const FULL_PERCENT = 100;
 
 /**
- * Decides how fast the best-effort tasks of one target may work.
+ * Decides how fast the best-effort tasks of one target may run.
  *
- * Guards against serving tasks that miss their latency target because of their neighbours: those
- * are slowed at once when it gets tight, and come back in small steps.
+ * Keeps best-effort tasks from making serving tasks miss their latency targets: they are slowed at
+ * once when a latency nears its target, and regain speed in small steps.
  * @param serving - The serving tasks of the target.
  * @param paced - Its best-effort tasks.
  * @returns The tasks whose speed is to change.
--- a/src/systems/quantile.ts
+++ b/src/systems/quantile.ts
@@ -1,7 +1,7 @@
 /**
- * Reads a quantile off measured values.
+ * Computes a quantile by the nearest-rank method.
  * @param values - At least one value, in any order.
- * @param fraction - Which quantile, from 0 to 1.
+ * @param fraction - The quantile, from 0 to 1.
  * @returns The smallest value that at least this fraction of the values does not exceed.
  */
 export function quantile(values: readonly number[], fraction: number): number {
