--- a/tests/systems/ArrivalRate.test.ts
+++ b/tests/systems/ArrivalRate.test.ts
@@ -21,9 +21,10 @@
     expect(measure(70, 12)).toBeLessThan(180_000);
   });
 
-  // Five exports came within a second, as they do by chance; the pool asked for 50 VMs, kept 24 for
-  // five seconds, ten of them idle, and the next pool's rush found three.
-  it('takes a few large jobs that come together for no rush', () => {
+  // Guards against a short span for rare jobs: when five exports arrived within a second by chance,
+  // the pool requested 50 VMs and kept 24 for five seconds, ten of them idle, and the load peak of
+  // the next pool started with three.
+  it('does not treat a few large jobs that arrive together as a load peak', () => {
     const clock = new ManualClock();
     const rate = new ArrivalRate(clock);
     clock.advance(10_000);
@@ -31,9 +32,9 @@
     expect(rate.cpuMillicores).toBe(15_000);
   });
 
-  // The front of each rush lost its first 2.5 s: VMs were ordered by the rate of the moment, which
-  // had doubled by the time that they came.
-  it('foresees that arrivals which grow will have grown on', () => {
+  // Guards against VMs that are ordered by the current rate during a rise: the rate had doubled
+  // when they became available, and the first 2.5 s of each load peak were lost.
+  it('extrapolates a rising arrival rate', () => {
     const clock = new ManualClock();
     const rate = new ArrivalRate(clock);
     // One job in 350 ms, then five.
@@ -45,7 +46,7 @@
     expect(rate.foreseenCpuMillicores).toBeCloseTo((2 * 6 * WORK) / 350, -3);
   });
 
-  it('foresees no more than arrives where arrivals stay as they are, or are few', () => {
+  it('does not extrapolate a steady rate or a few arrivals', () => {
     const clock = new ManualClock();
     const steady = new ArrivalRate(clock);
     Array.from({ length: 30 }).forEach(() => {
--- a/tests/systems/PoolPeaks.test.ts
+++ b/tests/systems/PoolPeaks.test.ts
@@ -26,8 +26,9 @@
 const fill = (count: number, cores: number): readonly number[] => Array(count).fill(cores);
 
 describe('PoolPeaks', () => {
-  // At 50 targets a pool each idle pool kept three VMs, as it did at six: the first seconds of each
-  // rush had a twentieth of the room they asked for, and a third of its jobs came late.
+  // Guards against a fixed reserve: idle pools of 50 targets kept three VMs, as pools of six did,
+  // so the first seconds of each load peak had a twentieth of the capacity they needed, and a third
+  // of its jobs were late.
   it('keeps a quarter of what operators gave a pool, and of the most that it used', () => {
     const peaks = new PoolPeaks(new ManualClock());
     peaks.note(makeDemand('small', fill(6, 0)));
@@ -41,8 +42,9 @@
     expect(peaks.getKeptCounts().get('small')).toBe(6);
   });
 
-  // After a loss of power a pool began its rush with three VMs, of which it used 40 before:
-  // the new home of the fleet took the few that others had left it for all that it ever had.
+  // Guards against lost peaks at a takeover: after a power failure, a pool that had used 40 VMs
+  // started its load peak with three, as the new home of the fleet took the few VMs that the pool
+  // had at that moment for its usual number.
   it('goes on with the peaks of an earlier home, whatever its pools have at that moment', () => {
     const clock = new ManualClock();
     const earlier = new PoolPeaks(clock);
@@ -59,8 +61,8 @@
     ]);
   });
 
-  // The pools of a whole fleet kept three VMs each after the clock of its home had jumped ahead by
-  // 40 minutes for six seconds: every peak was forgotten as if nobody had used it for as long.
+  // Guards against decay by the wall clock: after the clock of the fleet's home had jumped ahead by
+  // 40 minutes for six seconds, every peak had decayed and all pools kept three VMs each.
   it('keeps a peak while the time of day jumps, also over a change of homes', () => {
     const clock = new ManualClock();
     const earlier = new PoolPeaks(clock);
--- a/tests/systems/PoolRooms.test.ts
+++ b/tests/systems/PoolRooms.test.ts
@@ -29,7 +29,7 @@
     expect(pool.mayTake(makeStepOf(2))).toBe(false);
   });
 
-  it('counts anew once room has been taken', () => {
+  it('recomputes the free CPU after an allocation', () => {
     const room = new TargetRoom(makeTarget('t1'));
     const pool = new PoolRooms([room]);
     expect(pool.mayTake(makeStepOf(4))).toBe(true);
@@ -45,9 +45,9 @@
     expect(new PoolRooms([room]).mayTake(bestEffort)).toBe(true);
   });
 
-  // Guards against a home that falls behind with each job that waits: every round looked through
-  // all targets again for each of them.
-  it('is not looked through for each job that waits where it is full', () => {
+  // Guards against placement rounds that become slower with each waiting job because they scan all
+  // targets for each one.
+  it('is not scanned for each waiting job while it is full', () => {
     const accepts = vi.spyOn(TargetRoom.prototype, 'accepts');
     const filling = createJobRow(makeJob('full', [makeStepOf(TARGET_CORES)]));
     const full = placeTask(filling, 0, 't1');
--- a/tests/systems/RunTimes.test.ts
+++ b/tests/systems/RunTimes.test.ts
@@ -26,14 +26,14 @@
     expect(new RunTimes().estimateMs(makeRow('a', 0), 0)).toBe(1_000);
   });
 
-  it('goes on trusting declarations that are true, whatever the mean', () => {
+  it('keeps using accurate declarations regardless of the mean', () => {
     const runTimes = new RunTimes();
     learn(runTimes, 100, (number) => ['a', 100 + number * 30, 100 + number * 30]);
     expect(runTimes.estimateMs(makeRow('a', 450), 0)).toBe(450);
   });
 
-  // Exports of large volumes were taken for late and put last though they had time: all exports
-  // were estimated by the mean of their queue, while each kind of volume takes its own time.
+  // Guards against one estimate for all images of a queue: exports of large volumes counted as late
+  // and were placed last although they had time, since each kind of volume has its own run time.
   it('estimates by image where images differ and declarations are far off', () => {
     const runTimes = new RunTimes();
     learn(runTimes, 200, (number) => (number % 2 === 0 ? ['a', 5_000, 400] : ['b', 50, 1_600]));
@@ -41,7 +41,7 @@
     expect(runTimes.estimateMs(makeRow('b', 50), 0)).toBeCloseTo(1_600, 0);
   });
 
-  it('estimates by the mean of the queue what runs an image that was not seen', () => {
+  it('estimates tasks with an unknown image by the mean of the queue', () => {
     const runTimes = new RunTimes();
     learn(runTimes, 100, () => ['a', 5_000, 400]);
     expect(runTimes.estimateMs(makeRow('new', 5_000), 0)).toBeCloseTo(400, 0);
--- a/tests/systems/blameCrash.test.ts
+++ b/tests/systems/blameCrash.test.ts
@@ -4,7 +4,7 @@
 
 let jobCount = 0;
 
-/** A run of a job of its own. */
+/** Creates a run of a separate job. */
 function makeRun(changes: Partial<CrashedRun> = {}): CrashedRun {
   jobCount += 1;
   const jobId = `job-${jobCount}`;
@@ -33,7 +33,7 @@
     ]);
   });
 
-  // Guards against an innocent task that is given up for another one that began beside it.
+  // Guards against giving up an innocent task because of another one that started at the same time.
   it('blames no task for a second crash where another one had just begun too', () => {
     const blames = blameCrash([makeRun({ crashCount: 1 }), makeRun()]);
     expect(blames.map(({ isToBlame }) => isToBlame)).toEqual([false, false]);
@@ -44,12 +44,12 @@
     expect(blames.map(({ isToBlame }) => isToBlame)).toEqual([true, false]);
   });
 
-  it('says nothing of a run whose start was not sent', () => {
+  it('does not suspect a run whose start was not sent', () => {
     const blames = blameCrash([makeRun({ isSent: false, crashCount: 1 })]);
     expect(blames).toEqual([{ crashCount: 1, isToBlame: false }]);
   });
 
-  // Guards against a long-running task that is given up for the short ones that begin beside it.
+  // Guards against giving up a long-running task because of short tasks that start on its targets.
   it('does not count the crashes of others for a long-running task that has been at work', () => {
     const lasting = makeRun({ isLongRunning: true, survivedMs: 5_000, crashCount: 3 });
     expect(blameCrash([lasting, makeRun()])[0]).toEqual({ crashCount: 3, isToBlame: false });
@@ -60,7 +60,7 @@
     expect(blameCrash([lasting])).toEqual([{ crashCount: 0, isToBlame: false }]);
   });
 
-  // Guards against an innocent task that is given up for a sick target or for a lost rack.
+  // Guards against giving up an innocent task because of a faulty target or a lost rack.
   it('counts a weak crash for what had just begun, and blames nobody for the second one', () => {
     const proven = makeRun({ survivedMs: 900 });
     expect(blame([proven, makeRun({ crashCount: 1 })], 'weak')).toEqual([
@@ -70,14 +70,16 @@
     expect(blame([makeRun({ crashCount: 3 })], 'weak')[0]!.isToBlame).toBe(true);
   });
 
-  // Guards against a task without a bound that crashes its targets only after it has begun.
+  // Guards against unlimited restarts of a task that crashes its targets only some time after
+  // start.
   it('blames the worst task for the fourth crash though it was never alone', () => {
     const late = makeRun({ crashCount: 3, survivedMs: 900 });
     const blames = blameCrash([late, makeRun({ crashCount: 1 }), makeRun()]);
     expect(blames.map(({ isToBlame }) => isToBlame)).toEqual([true, false, false]);
   });
 
-  // Guards against a sixth start: whatever is beside it, a culprit is given up by the fifth crash.
+  // Guards against a sixth start: regardless of the other runs on its targets, a task that crashes
+  // them is given up by the fifth crash.
   it('blames a task that crashes each of its targets after four crashes at most', () => {
     const neighbour = fc.record({
       jobId: fc.constantFrom('a', 'b'),
--- a/tests/systems/countWholeVms.test.ts
+++ b/tests/systems/countWholeVms.test.ts
@@ -6,7 +6,7 @@
 const NEARLY_WHOLE = { cpuMillicores: 3_500, memoryMb: 100, gpuCount: 0 };
 const TARGETS = ['t1', 't2'].map((targetId) => ({ ...makeEntry(targetId), takesTasks: true }));
 
-/** A service with a task on each target. */
+/** Creates a service with one task on each target. */
 function makeService(): DurableJobRow {
   const row = createJobRow(makeJob('service', [makeStep({ taskCount: 2, isLongRunning: true })]));
   return placeTask(placeTask(row, 0, 't1'), 1, 't2');
@@ -22,7 +22,7 @@
 }
 
 describe('countWholeVms', () => {
-  // Guards against a task that waits for good, as each target carries a long-running one.
+  // Guards against a task that waits forever because each target runs a long-running task.
   it('counts the VMs that catch up with tasks that fit beside no long-running one', () => {
     expect(count([makeService(), makeWide()])).toBe(1);
     expect(count([makeService(), makeWide({ taskCount: 5 })])).toBe(3);
--- a/tests/systems/estimateNeededCpu.test.ts
+++ b/tests/systems/estimateNeededCpu.test.ts
@@ -6,7 +6,7 @@
 const WIDE = makeStep({ taskCount: 4, estimatedRunMs: 2_000 });
 const LONG_RUNNING = makeStep({ taskCount: 2, isLongRunning: true });
 
-/** A job with its first tasks on targets. */
+/** Creates a job whose first tasks are placed. */
 function makeRow(jobId: string, placedCount: number, steps = [WIDE]): DurableJobRow {
   return Array.from({ length: placedCount }).reduce<DurableJobRow>(
     (row, _unused, position) => placeTask(row, position, 't1'),
@@ -22,35 +22,36 @@
 };
 
 describe('estimateNeededCpu', () => {
-  // The rush of the exports was nearly over, yet their pool asked for three times what it used, as
-  // the work of second steps counted as if it could run at once. Ten VMs idled there while searches
-  // waited for room.
-  it('asks for no more than what runs where the pool keeps up with the rest', () => {
+  // Guards against a backlog that counts as immediate need: at the end of a load peak of exports,
+  // their pool requested three times what it used, since the work of second steps counted as if it
+  // could start at once. Ten VMs idled there while searches waited for capacity.
+  it('needs no more than the running tasks if the pool keeps up with the backlog', () => {
     const row = makeRow('j1', 4, [WIDE, makeStep({ taskCount: 8, afterSteps: [0] })]);
     expect(estimateNeededCpu({ rows: [row], ...QUIET }).neededCpuMillicores).toBe(4_000);
   });
 
-  // Jobs of a rush came 24 a second to eight VMs; more were asked for only once their tasks waited,
-  // two seconds later, and came after another two.
+  // Guards against VMs that are ordered only once tasks wait: at 24 jobs per second on eight VMs,
+  // more were ordered two seconds late and arrived after another two.
   it('asks for VMs before a queue has grown where more arrives than the pool can carry', () => {
     const rows = [makeRow('j1', 4)];
-    // 90 cores arrive; by the time a VM is there, 2 s x 58 cores of them and 8 core-s were left.
+    // 90 cores of work arrive. When a VM becomes available, 2 s x 58 cores of it and 8 core-s are
+    // left.
     const input = { rows, ...QUIET, arrivingCpuMillicores: 90_000 };
     expect(estimateNeededCpu(input).neededCpuMillicores).toBe(90_000 + 58_000 + 4_000);
   });
 
   it('asks for what catches up within two seconds where work waits', () => {
     const rows = Array.from({ length: 20 }, (_unused, number) => makeRow(`j${number}`, 0));
-    // 20 jobs of 8 core-s against 2 s x 32 cores: 96 core-s are left.
+    // 20 jobs of 8 core-s minus 2 s x 32 cores leave 96 core-s.
     expect(estimateNeededCpu({ rows, ...QUIET }).neededCpuMillicores).toBe(48_000);
   });
 
-  // The next rush had five of its VMs, as 20 stood in the pool of the last one: they worked off
-  // jobs that were late already, which callers had nearly no use for any more.
+  // Guards against late work that holds VMs: 20 VMs stayed in the pool of the previous load peak
+  // for late jobs that were of little use to their callers, and the next peak had five VMs.
   it('asks for little to catch up with work that is too late for its objective', () => {
     const rows = Array.from({ length: 20 }, (_unused, number) => makeRow(`j${number}`, 0));
     const tooLate = { ...QUIET, nowMs: Date.now() + 60_000 };
-    // 160 core-s in 10 s, and nothing that arrives.
+    // 160 core-s in 10 s, without arriving work.
     expect(estimateNeededCpu({ rows, ...tooLate }).neededCpuMillicores).toBe(16_000);
     const mechanisms = switchOff(['late-work-yields']);
     expect(estimateNeededCpu({ rows, ...tooLate, mechanisms }).neededCpuMillicores).toBe(48_000);
--- a/tests/systems/placeTasks.test.ts
+++ b/tests/systems/placeTasks.test.ts
@@ -132,8 +132,9 @@
     expect(order).toEqual(['service', 'early', 'late', 'low']);
   });
 
-  // The widest jobs of a rush were served half as often as the others: a few of their tasks had
-  // run, then small jobs that came later had the earlier objective and took the room of the rest.
+  // Guards against wide jobs that stall: in a load peak, jobs with many tasks were served half as
+  // often as others, since after their first tasks, smaller and later jobs with an earlier
+  // objective took the capacity.
   it('puts jobs that have begun before those that have not', () => {
     const begun = placeTask(
       makeRow('begun', [makeStep({ taskCount: 9, estimatedRunMs: 5_000 })]),
@@ -150,8 +151,9 @@
     expect(listIds(['started-jobs-first'])).toEqual(['small', 'begun']);
   });
 
-  // In the front of a rush every job waited until its time was just up: each was served at the last
-  // moment, and as estimates are off by half, about every second one came late all the same.
+  // Guards against jobs that are all served at the last moment: at the start of a load peak each
+  // job waited until its latest start time, and as estimates are off by half, about every second
+  // one was late.
   it('puts the newest first once jobs have waited for half of their time', () => {
     const nowMs = Date.now();
     const makeAged = (jobId: string, ageMs: number): DurableJobRow =>
@@ -167,8 +169,8 @@
     expect(listIds(0.6 * slackMs)).toEqual(['new', 'old']);
   });
 
-  // In a rush nearly every page save was late: the one with the earliest objective got the room,
-  // and that was always one that could not meet it any more.
+  // Guards against order by objective alone: in a load peak nearly every page save was late, since
+  // the capacity always went to the one with the earliest objective, which could no longer meet it.
   it('puts jobs that are too late for their objective last', () => {
     const nowMs = Date.now();
     const tooLate = { ...makeJob('tooLate'), submittedAtMs: nowMs - 10_000 };
--- a/tests/systems/planFleet.test.ts
+++ b/tests/systems/planFleet.test.ts
@@ -69,12 +69,12 @@
     expect(plan(makeWave(2, 1_000), ['m1', 'm2'])).toEqual([]);
   });
 
-  it('takes only what it needs to end in time, and spares the pool', () => {
+  it('drains only as many VMs as it needs to end in time, within the limit of the pool', () => {
     expect(plan(makeWave(6, 600_000))).toHaveLength(2);
     expect(plan(makeWave(6, 20_000)).length).toBeLessThanOrEqual(2);
   });
 
-  it('spares no pool once it is late', () => {
+  it('exceeds the limit of a pool once the wave is late', () => {
     expect(plan(makeWave(5, 1_000))).toHaveLength(5);
   });
 
@@ -110,9 +110,10 @@
     expect(moves.map(({ vm, toPool }) => `${vm} ${toPool}`)).toEqual(['s1 pages', 'a1 pages']);
   });
 
-  // After all daemons lost power, the new home of the fleet ordered VMs twice for one pool: those
-  // that the earlier home had moved there were up and held, and counted neither as there nor as on
-  // their way. The pool got 182 VMs for a need of 124, and the next pool began its rush with three.
+  // Guards against VMs that are ordered twice: after a power failure of all daemons, VMs that the
+  // earlier home had moved to a pool were up and held, and counted neither as present nor as
+  // moving. The pool got 182 VMs for a need of 124, and the next pool started its load peak with
+  // three.
   it('counts the VMs that an earlier home has just moved and that work', () => {
     const held = new Set(['p2', 'p3']);
     const vms = [...input.vms, makeVm('p2', 'pages'), makeVm('p3', 'pages')];
@@ -126,8 +127,8 @@
     expect(planMoves({ ...input, arrivingByPool: new Map([['pages', 3]]) })).toEqual([]);
   });
 
-  // After its rush a pool kept all its VMs, since each still had a task or two, while the next
-  // rush waited in another pool.
+  // Guards against a pool that keeps all its VMs after a load peak because each still runs a task
+  // or two, while jobs of the next peak wait in another pool.
   it('takes a VM that still works where its pool does not need it, the emptiest first', () => {
     const loads = idle.map(({ vm }) => makeLoad(vm, vm === 'a3' ? 1 : 4));
     const working = [makeDemand('archive', 0, loads), demands[1]!];
@@ -136,8 +137,8 @@
     expect(moves.map(({ vm }) => vm)).toEqual(['a3']);
   });
 
-  // A rush at its height had half of the room that it asked for, and most of its jobs came late,
-  // while three idle pools kept VMs for rushes to come.
+  // Guards against unused reserves: at its height a load peak had half of the capacity it needed
+  // and most of its jobs were late, while three idle pools kept VMs for future peaks.
   it('takes what idle pools keep where a pool is short, after everything else', () => {
     const keptCounts = new Map([['archive', 4]]);
     const plan = (yieldsKept: boolean): readonly string[] =>
@@ -146,8 +147,9 @@
     expect(plan(true)).toEqual(['s1', 'a1']);
   });
 
-  // The pages' rush began with a single VM, since the rush before had taken what the pool kept, and
-  // for 3 s its jobs waited; meanwhile 16 VMs idled where that rush had been.
+  // Guards against reserves that are not restored: the previous load peak had taken the reserve of
+  // the pages pool, so its own peak started with a single VM and its jobs waited for 3 s, while 16
+  // VMs idled in the pool of the previous peak.
   it('gives pools back what they keep once no pool is short', () => {
     const calm = [demands[0]!, makeDemand('pages', 0, [makeLoad('p1', 1)])];
     const keptCounts = new Map([
@@ -158,8 +160,9 @@
     expect(moves.map(({ vm, toPool }) => `${vm} ${toPool}`)).toEqual(['a1 pages', 'a2 pages']);
   });
 
-  // A pool whose rush had begun waited with three VMs for two seconds: another pool, whose need had
-  // been foreseen from four large jobs and was several times the fleet, got whatever was free.
+  // Guards against forecasts that take all free VMs: a pool at the start of its load peak waited
+  // with three VMs for two seconds, while another pool got all free ones for a forecast need of
+  // several times the fleet, which was based on four large jobs.
   it('gives VMs to tasks that wait before it gives any to what is foreseen', () => {
     const free = ['f1', 'f2', 'f3'].map((vm) => makeVm(vm, 'spare', { targetId: undefined }));
     const foreseen = { ...makeDemand('media', 0, []), neededCpuMillicores: 37_344_000 };
@@ -172,7 +175,8 @@
     ]);
   });
 
-  // A rush asked for 45 VMs, which stood ready, and got eight a look; the last came 2 s later.
+  // Guards against a low limit per planning round: a load peak needed 45 VMs, which were available,
+  // and got eight per round, the last 2 s later.
   it('orders all that a rush needs at once', () => {
     const many = Array.from({ length: 30 }, (_unused, number) => makeVm(`i${number}`, 'archive'));
     const loads = many.map(({ vm }) => makeLoad(vm));
@@ -180,7 +184,7 @@
     expect(planMoves({ ...input, demands: rush, vms: [...many, ...busy] })).toHaveLength(20);
   });
 
-  // Guards against a VM that is brought for a task which needs it whole, and given away again.
+  // Guards against giving away a VM that was moved to a pool for a task that needs a whole VM.
   it('brings and keeps VMs without long-running tasks as far as tasks need them whole', () => {
     const held = ['p1', 'p2', 'p3', 'p4'];
     const loads = held.map((vm) => ({ ...makeLoad(vm, 1), longRunningCount: 1 }));
@@ -200,8 +204,8 @@
     expect(moves).toEqual([]);
   });
 
-  // Guards against a fleet that works for jobs that are worth little by now, while each job of the
-  // next rush comes late in its turn.
+  // Guards against a fleet that processes jobs of little remaining value while each job of the next
+  // load peak becomes late as well.
   it('takes VMs from work that is too late for work in time, but not for other late work', () => {
     const names = ['m1', 'm2', 'm3', 'm4', 'm5'];
     const loads = names.map((vm) => makeLoad(vm, 20));
@@ -233,29 +237,29 @@
   };
   const drainedTargets = new Set(['t1']);
 
-  it('stops as many tasks of a step as it may miss', () => {
+  it('stops as many tasks of a step as may be unavailable', () => {
     const isAtWork = () => true;
     expect(planEvacuations({ jobs: [placed], drainedTargets, isAtWork })).toHaveLength(1);
   });
 
-  // Tenants lost two of three nodes of a service during maintenance: one had just been started
-  // anew after a crash when the system stopped another to empty its VM. Cause: only the stops of
-  // the system's own were counted.
+  // Guards against counting only the stops by the system itself: users lost two of three nodes of a
+  // service during maintenance, since one was restarting after a crash when the system stopped
+  // another to drain its VM.
   it('stops none while another task of the step is not at work', () => {
     const isAtWork = (_row: unknown, position: number) => position !== 2;
     expect(planEvacuations({ jobs: [placed], drainedTargets, isAtWork })).toEqual([]);
   });
 
-  // Guards against an emptied target that takes the processor of a small home: each look asked of
-  // every task of every job whether it is at work.
-  it('asks of no task with an end of its own whether it is at work', () => {
+  // Guards against a drained target that uses up the CPU of a small home because each planning
+  // round checks for every task of every job whether it is running.
+  it('does not check whether tasks that end by themselves are running', () => {
     const short = createJobRow(makeJob('b', [makeStep({ taskCount: 3 })]));
     const isAtWork = vi.fn(() => true);
     expect(planEvacuations({ jobs: [short], drainedTargets, isAtWork })).toEqual([]);
     expect(isAtWork).not.toHaveBeenCalled();
   });
 
-  it('leaves a step alone that can spare none', () => {
+  it('stops no task of a step that allows no unavailable task', () => {
     const steps = [{ ...step, maxUnavailableCount: 0 }];
     const strict = { ...placed, spec: { ...placed.spec, steps } };
     const isAtWork = () => true;
--- a/tests/systems/planPace.test.ts
+++ b/tests/systems/planPace.test.ts
@@ -7,8 +7,9 @@
   planPace(serving(latencyMs), paced(percent))[0]?.percent;
 
 describe('planPace', () => {
-  // Citizens waited seconds for a page while a crawl filled the rest of the machine: it was slowed
-  // only after the target had been missed for a while, and in small steps.
+  // Guards against slow throttling: users waited seconds for a page while a crawl used the rest of
+  // the machine, since it was slowed in small steps and only after the target had been missed for a
+  // while.
   it('slows best-effort tasks before a target is missed, and stops them with the next report', () => {
     expect(percentAfter(90, 100)).toBe(30);
     expect(percentAfter(90, 30)).toBe(0);
