--- a/bench/jobs/decisionRound.ts
+++ b/bench/jobs/decisionRound.ts
@@ -65,9 +65,9 @@
     const ordered = orderJobs(jobs, { runTimes, nowMs: NOW_MS });
     return placeTasks({
       jobs: ordered,
-      occupants,
+      allocatedJobs: occupants,
       targets,
-      failedOn: () => none,
+      getFailedTargets: () => none,
       nowMs: NOW_MS,
     });
   };
--- a/src/fleetHome/FleetHome.ts
+++ b/src/fleetHome/FleetHome.ts
@@ -111,7 +111,7 @@
     });
     this.poolReporter = new PoolReporter(options);
     this.peaks = new PoolPeaks(options.clock, options.peakRecords);
-    this.storedKeptCounts = this.peaks.getKeptCounts();
+    this.storedKeptCounts = this.peaks.getReserveCounts();
     const onStaleTerm = (): void => this.options.onReplaced();
     this.orders = new VmOrders({ ...options, onStaleTerm });
     const isAway = (vm: string): boolean => this.orders.hasActiveOrder(vm);
@@ -149,7 +149,7 @@
     this.demands = await this.syncPools(vms, this.options.listPools());
     if (this.isClosed) return;
     this.poolReporter.report(this.demands, vms, this.listHeldVms());
-    this.demands.forEach((demand) => this.peaks.note(demand));
+    this.demands.forEach((demand) => this.peaks.record(demand));
     this.storePeaks();
     await this.waves.advance(vms, this.getLoads());
     await this.moveVms(vms);
@@ -169,7 +169,7 @@
 
   /** Stores the peaks of the pools whose number of kept VMs differs from the stored state. */
   private storePeaks(): void {
-    const keptCounts = this.peaks.getKeptCounts();
+    const keptCounts = this.peaks.getReserveCounts();
     const changed = this.peaks
       .list()
       .filter(({ pool }) => keptCounts.get(pool) !== this.storedKeptCounts.get(pool));
@@ -235,10 +235,10 @@
       vms,
       standbyPools: new Set(listStandbyPools()),
       heldVms: this.listHeldVms(),
-      stayingVms: this.listStayingVms(),
+      usableHeldVms: this.listStayingVms(),
       arrivingByPool: this.countArrivingByPool(vms),
-      yieldsKept: mechanisms.has('kept-yields-in-shortage'),
-      ...(mechanisms.has('kept-by-peak') ? { keptCounts: this.peaks.getKeptCounts() } : {}),
+      releasesReserves: mechanisms.has('kept-yields-in-shortage'),
+      ...(mechanisms.has('kept-by-peak') ? { reserveCounts: this.peaks.getReserveCounts() } : {}),
     });
   }
 
--- a/src/fleetHome/WaveStepTimer.ts
+++ b/src/fleetHome/WaveStepTimer.ts
@@ -1,4 +1,4 @@
-import { STEP_MS } from '../systems/index.js';
+import { DEFAULT_STEP_MS } from '../systems/index.js';
 import { type Clock, followMean } from '../utils/index.js';
 
 /** Weight of the latest step in the moving mean; the last few steps dominate. */
@@ -24,7 +24,9 @@
 
   /** Expected duration of a step, in milliseconds. */
   get expectedMs(): number {
-    return this.meanMs === undefined ? STEP_MS : Math.min(STEP_MS, this.meanMs * MARGIN_FACTOR);
+    return this.meanMs === undefined
+      ? DEFAULT_STEP_MS
+      : Math.min(DEFAULT_STEP_MS, this.meanMs * MARGIN_FACTOR);
   }
 
   /**
--- a/src/systems/ArrivalRate.ts
+++ b/src/systems/ArrivalRate.ts
@@ -20,7 +20,7 @@
  */
 const MIN_RISE_FACTOR = 2;
 /** Assumed growth of a rising rate until a VM that is ordered now is available. */
-const FORESEEN_FACTOR = 2;
+const FORECAST_FACTOR = 2;
 
 function sumWork(arrivals: readonly Arrival[]): number {
   return arrivals.reduce((sum, { work }) => sum + work, 0);
@@ -44,7 +44,7 @@
    * Records work that has arrived.
    * @param work - The work in thousandths of a core times milliseconds.
    */
-  note(work: number): void {
+  record(work: number): void {
     this.arrivals = [...this.listRecent(), { atMs: this.clock.monotonicMs(), work }];
   }
 
@@ -69,7 +69,7 @@
    * A load peak grows for 2 to 3 s at its start, and a VM takes 2 s to become available. VMs that
    * are ordered by the current rate would cover half of the need when they arrive.
    */
-  get foreseenCpuMillicores(): number {
+  get forecastCpuMillicores(): number {
     const nowMs = this.clock.monotonicMs();
     const halfMs = MIN_SPAN_MS / 2;
     const recent = this.listRecent().filter(({ atMs }) => atMs >= nowMs - MIN_SPAN_MS);
@@ -77,9 +77,9 @@
     const lateWork = sumWork(late);
     const earlyWork = sumWork(recent) - lateWork;
     const isRising = late.length >= MIN_RISE_COUNT && lateWork > MIN_RISE_FACTOR * earlyWork;
-    const presentMillicores = this.cpuMillicores;
-    if (!isRising) return presentMillicores;
-    return Math.max(presentMillicores, (FORESEEN_FACTOR * lateWork) / halfMs);
+    const currentMillicores = this.cpuMillicores;
+    if (!isRising) return currentMillicores;
+    return Math.max(currentMillicores, (FORECAST_FACTOR * lateWork) / halfMs);
   }
 
   private listRecent(): readonly Arrival[] {
--- a/src/systems/PoolRooms.ts
+++ b/src/systems/PoolCapacity.ts
@@ -1,5 +1,5 @@
 import type { StepSpec } from '../jobs/index.js';
-import { getOccupied, type TargetRoom } from './TargetRoom.js';
+import { getAllocatedResources, type TargetCapacity } from './TargetCapacity.js';
 
 /**
  * Free capacity of one pool's targets during a round of placement.
@@ -7,19 +7,19 @@
  * Caches the largest free CPU of the targets, so that a full pool is scanned once and not for each
  * waiting step. Repeated scans would use up the CPU of a small home when many steps wait.
  */
-export class PoolRooms {
+export class PoolCapacity {
   /** Free capacity of each target, in the order of the targets. */
-  readonly rooms: readonly TargetRoom[];
+  readonly capacities: readonly TargetCapacity[];
 
   /** Largest free CPU of a target that accepts tasks; undefined after it may have changed. */
   private largestFreeCpuMillicores: number | undefined;
 
   /**
    * Creates the capacity of a pool.
-   * @param rooms - Free capacity of each target; call {@link noteTaken} after each allocation.
+   * @param capacities - Free capacity of each target; call {@link invalidateCache} after each allocation.
    */
-  constructor(rooms: readonly TargetRoom[]) {
-    this.rooms = rooms;
+  constructor(capacities: readonly TargetCapacity[]) {
+    this.capacities = capacities;
   }
 
   /**
@@ -28,15 +28,15 @@
    * @param step - The step.
    * @returns Whether it is worth searching for a target.
    */
-  mayTake(step: StepSpec): boolean {
-    this.largestFreeCpuMillicores ??= this.rooms
-      .filter(({ isOpen }) => isOpen)
+  mayFit(step: StepSpec): boolean {
+    this.largestFreeCpuMillicores ??= this.capacities
+      .filter(({ acceptsTasks: isOpen }) => isOpen)
       .reduce((most, { freeCpuMillicores }) => Math.max(most, freeCpuMillicores), -Infinity);
-    return getOccupied(step).cpuMillicores <= this.largestFreeCpuMillicores;
+    return getAllocatedResources(step).cpuMillicores <= this.largestFreeCpuMillicores;
   }
 
   /** Invalidates the cached value after an allocation. */
-  noteTaken(): void {
+  invalidateCache(): void {
     this.largestFreeCpuMillicores = undefined;
   }
 }
--- a/src/systems/PoolLoad.ts
+++ b/src/systems/PoolLoad.ts
@@ -1,6 +1,6 @@
 import type { Urgency } from '../settings/index.js';
 import type { GrantRow, PoolTables } from '../tables/index.js';
-import type { JobSize } from './learnedSize.js';
+import type { JobSize } from './estimateJobSize.js';
 import { VmLoad } from './VmLoad.js';
 import { isQuarantined } from './vmStates.js';
 
@@ -15,7 +15,7 @@
 }
 
 /** Increases a counter in a map. */
-function addTo<Key>(counts: Map<Key, number>, key: Key, by: number): void {
+function increase<Key>(counts: Map<Key, number>, key: Key, by: number): void {
   counts.set(key, (counts.get(key) ?? 0) + by);
 }
 
@@ -32,9 +32,9 @@
 
   private readonly slotsByRack = new Map<string, number>();
 
-  private readonly heldByTeam = new Map<string, number>();
+  private readonly slotsByTeam = new Map<string, number>();
 
-  private readonly heldByUrgency = new Map<Urgency, number>();
+  private readonly slotsByUrgency = new Map<Urgency, number>();
 
   private usedSlots = 0;
 
@@ -51,11 +51,11 @@
       .map((vm) => new VmLoad({ vm, health: tables.health.get(vm.vm), nowMs }));
     this.slotCount = this.vmLoads.reduce((sum, load) => sum + load.vm.slotCount, 0);
     this.loadByVm = new Map(this.vmLoads.map((load) => [load.vm.vm, load]));
-    this.vmLoads.forEach(({ rack, vm }) => addTo(this.slotsByRack, rack, vm.slotCount));
+    this.vmLoads.forEach(({ rack, vm }) => increase(this.slotsByRack, rack, vm.slotCount));
     tables.grants.list().forEach((grant) => {
       const throttled = tables.preemptions.get(grant.grantId)?.action === 'throttle';
       const coreCount = grant.coreCount * (throttled ? THROTTLED_CORE_FRACTION : 1);
-      this.countRun(grant, { coreCount, memoryMb: grant.memoryMb }, grant.grantedAtMs);
+      this.addRun(grant, { coreCount, memoryMb: grant.memoryMb }, grant.grantedAtMs);
     });
   }
 
@@ -78,8 +78,8 @@
    * @param team - The team.
    * @returns Slots on all VMs, including draining ones.
    */
-  heldByTeamCount(team: string): number {
-    return this.heldByTeam.get(team) ?? 0;
+  countTeamSlots(team: string): number {
+    return this.slotsByTeam.get(team) ?? 0;
   }
 
   /**
@@ -87,8 +87,8 @@
    * @param urgency - The urgency.
    * @returns Slots on all VMs, including draining ones.
    */
-  heldByUrgencyCount(urgency: Urgency): number {
-    return this.heldByUrgency.get(urgency) ?? 0;
+  countUrgencySlots(urgency: Urgency): number {
+    return this.slotsByUrgency.get(urgency) ?? 0;
   }
 
   /**
@@ -96,7 +96,7 @@
    * @param load - Load of the VM.
    * @returns Share of the rack's slots that are in use.
    */
-  rackLoadFraction(load: VmLoad): number {
+  getRackUtilisation(load: VmLoad): number {
     const usedSlotCount = this.usedSlotsByRack.get(load.rack) ?? 0;
     return usedSlotCount / (this.slotsByRack.get(load.rack) ?? 1);
   }
@@ -107,17 +107,13 @@
    * @param size - Resources of the run.
    * @param startedAtMs - Monotonic time of its start, in milliseconds.
    */
-  countRun(
-    run: Pick<GrantRow, 'vm' | 'team' | 'urgency'>,
-    size: JobSize,
-    startedAtMs: number,
-  ): void {
-    addTo(this.heldByTeam, run.team, 1);
-    addTo(this.heldByUrgency, run.urgency, 1);
+  addRun(run: Pick<GrantRow, 'vm' | 'team' | 'urgency'>, size: JobSize, startedAtMs: number): void {
+    increase(this.slotsByTeam, run.team, 1);
+    increase(this.slotsByUrgency, run.urgency, 1);
     const load = this.loadByVm.get(run.vm);
     if (load === undefined) return;
     load.add(size, startedAtMs);
     this.usedSlots += 1;
-    addTo(this.usedSlotsByRack, load.rack, 1);
+    increase(this.usedSlotsByRack, load.rack, 1);
   }
 }
--- a/src/systems/PoolPeaks.ts
+++ b/src/systems/PoolPeaks.ts
@@ -1,5 +1,5 @@
 import type { Clock } from '../utils/index.js';
-import { MIN_KEPT_COUNT } from './planMoves.js';
+import { MIN_RESERVE_COUNT } from './planMoves.js';
 import type { PoolDemand } from './PoolDemand.js';
 
 /**
@@ -7,7 +7,7 @@
  * it arrive after about 2.5 s, so the reserve covers its start. Reserve VMs have a cost all the
  * time; at about a quarter, one more VM costs as much as it is worth.
  */
-const KEPT_SHARE = 0.25;
+const RESERVE_SHARE = 0.25;
 /** Half-life of a peak, in milliseconds: several rounds of load peaks. */
 const HALF_LIFE_MS = 300_000;
 
@@ -59,7 +59,7 @@
    * since operators assigned them.
    * @param demand - Load and demand of the pool.
    */
-  note({ pool, targets }: PoolDemand): void {
+  record({ pool, targets }: PoolDemand): void {
     const usedVms = targets
       .map(({ usedCpuMillicores, cpuMillicores }) => usedCpuMillicores / Math.max(1, cpuMillicores))
       .reduce((sum, share) => sum + share, 0);
@@ -83,11 +83,11 @@
    * Computes the number of reserve VMs that each pool keeps without load.
    * @returns The numbers by pool.
    */
-  getKeptCounts(): ReadonlyMap<string, number> {
+  getReserveCounts(): ReadonlyMap<string, number> {
     return new Map(
       [...this.peaks.keys()].map((pool) => [
         pool,
-        Math.max(MIN_KEPT_COUNT, Math.ceil(this.getPeak(pool)! * KEPT_SHARE)),
+        Math.max(MIN_RESERVE_COUNT, Math.ceil(this.getPeak(pool)! * RESERVE_SHARE)),
       ]),
     );
   }
--- a/src/systems/RunEstimator.ts
+++ b/src/systems/RunTimeEstimator.ts
@@ -1,14 +1,14 @@
 import type { PoolTables } from '../tables/index.js';
-import { MIN_LEARNED_RUN_COUNT } from './learnedSize.js';
+import { MIN_LEARNED_RUN_COUNT } from './estimateJobSize.js';
 import { quantile } from './quantile.js';
 
 /** Run time assumed for a job kind that the settings do not declare, in milliseconds. */
-const UNDECLARED_RUN_MS = 1_000;
+const DEFAULT_RUN_MS = 1_000;
 /** Quantile of the measured run times that serves as the shortest expected run time. */
 const SHORT_RUN_QUANTILE = 0.1;
 
 /** Expected run time of a job kind. */
-export interface RunEstimate {
+export interface RunTimeEstimate {
   /** Whether the estimate comes from measured runs rather than from the declaration. */
   readonly isMeasured: boolean;
   /** Nearly every run lasts at least this long; 0 without measurements. */
@@ -19,10 +19,10 @@
 }
 
 /** Estimates run times by job kind, and caches each estimate for one round of placement. */
-export class RunEstimator {
+export class RunTimeEstimator {
   private readonly tables: PoolTables;
 
-  private readonly estimates = new Map<string, RunEstimate>();
+  private readonly estimates = new Map<string, RunTimeEstimate>();
 
   /**
    * Creates an estimator with an empty cache.
@@ -37,7 +37,7 @@
    * @param jobKind - The job kind.
    * @returns The estimate; a declared run time, often far off, only replaces a missing mean.
    */
-  estimate(jobKind: string): RunEstimate {
+  estimate(jobKind: string): RunTimeEstimate {
     const known = this.estimates.get(jobKind);
     if (known !== undefined) return known;
     const computed = this.compute(jobKind);
@@ -45,12 +45,12 @@
     return computed;
   }
 
-  private compute(jobKind: string): RunEstimate {
+  private compute(jobKind: string): RunTimeEstimate {
     const history = this.tables.history.get(jobKind);
     const recentRunMs = history?.recentRunMs ?? [];
     if (history === undefined || recentRunMs.length < MIN_LEARNED_RUN_COUNT) {
       const declaredMs = this.tables.settings.jobKinds[jobKind]?.expectedRunMs;
-      const meanMs = declaredMs ?? UNDECLARED_RUN_MS;
+      const meanMs = declaredMs ?? DEFAULT_RUN_MS;
       return { isMeasured: false, shortestMs: 0, meanMs, longMs: 0 };
     }
     const sumMs = recentRunMs.reduce((sum, runMs) => sum + runMs, 0);
--- a/src/systems/RunTimes.ts
+++ b/src/systems/RunTimes.ts
@@ -18,7 +18,7 @@
 }
 
 /** Mean relative error of each estimation method in one queue. */
-interface Errors {
+interface EstimateErrors {
   readonly declared: Mean;
   readonly byQueue: Mean;
   readonly byImage: Mean;
@@ -29,13 +29,13 @@
 /** Weight of a new run in the means, which corresponds to about the last twenty runs. */
 const LEARNING_RATE = 0.05;
 /** Run time assumed for a task without declaration or measurements, in milliseconds. */
-const UNKNOWN_RUN_MS = 1_000;
+const DEFAULT_RUN_MS = 1_000;
 
 const NO_MEAN: Mean = { count: 0, value: 0 };
-const NO_ERRORS: Errors = { declared: NO_MEAN, byQueue: NO_MEAN, byImage: NO_MEAN };
+const NO_ERRORS: EstimateErrors = { declared: NO_MEAN, byQueue: NO_MEAN, byImage: NO_MEAN };
 
 /** Counts the unfinished tasks of each step. */
-const countOpenTasks = memoizeByObject(({ spec, tasks }: DurableJobRow): readonly number[] =>
+const countUnfinishedTasks = memoizeByObject(({ spec, tasks }: DurableJobRow): readonly number[] =>
   tasks
     .filter(({ phase }) => phase !== 'done')
     .reduce(
@@ -44,12 +44,12 @@
     ),
 );
 
-function addTo({ count, value }: Mean, added: number): Mean {
+function updateMean({ count, value }: Mean, added: number): Mean {
   const weight = Math.max(LEARNING_RATE, 1 / (count + 1));
   return { count: count + 1, value: value + weight * (added - value) };
 }
 
-function isKnown({ count }: Mean): boolean {
+function isReliable({ count }: Mean): boolean {
   return count >= MIN_RUN_COUNT;
 }
 
@@ -63,7 +63,7 @@
 
   private readonly byImage = new Map<string, Mean>();
 
-  private readonly errors = new Map<string, Errors>();
+  private readonly errors = new Map<string, EstimateErrors>();
 
   private readonly isLearning: boolean;
 
@@ -79,20 +79,20 @@
    * Records a finished task.
    * @param run - The task and its run time.
    */
-  note({ queue, image, declaredMs, runMs }: MeasuredRun): void {
-    const ofQueue = this.byQueue.get(queue) ?? NO_MEAN;
-    const ofImage = image === undefined ? NO_MEAN : this.getOfImage(queue, image);
+  record({ queue, image, declaredMs, runMs }: MeasuredRun): void {
+    const queueMean = this.byQueue.get(queue) ?? NO_MEAN;
+    const imageMean = image === undefined ? NO_MEAN : this.getImageMean(queue, image);
     const known = this.errors.get(queue) ?? NO_ERRORS;
-    const judge = (errors: Mean, estimateMs: number, isAny: boolean): Mean =>
-      isAny ? addTo(errors, Math.abs(estimateMs - runMs) / Math.max(1, runMs)) : errors;
+    const updateError = (errors: Mean, estimateMs: number, isAvailable: boolean): Mean =>
+      isAvailable ? updateMean(errors, Math.abs(estimateMs - runMs) / Math.max(1, runMs)) : errors;
     this.errors.set(queue, {
-      declared: judge(known.declared, declaredMs, declaredMs > 0),
-      byQueue: judge(known.byQueue, ofQueue.value, isKnown(ofQueue)),
-      byImage: judge(known.byImage, ofImage.value, isKnown(ofImage)),
+      declared: updateError(known.declared, declaredMs, declaredMs > 0),
+      byQueue: updateError(known.byQueue, queueMean.value, isReliable(queueMean)),
+      byImage: updateError(known.byImage, imageMean.value, isReliable(imageMean)),
     });
-    this.byQueue.set(queue, addTo(ofQueue, runMs));
+    this.byQueue.set(queue, updateMean(queueMean, runMs));
     if (image === undefined) return;
-    this.byImage.set(RunTimes.getImageKey(queue, image), addTo(ofImage, runMs));
+    this.byImage.set(RunTimes.getImageKey(queue, image), updateMean(imageMean, runMs));
   }
 
   /**
@@ -104,17 +104,17 @@
   estimateMs({ spec }: DurableJobRow, step: number): number {
     const { estimatedRunMs: declaredMs, image } = spec.steps[step]!;
     const { queue } = spec.terms;
-    const declared = declaredMs > 0 ? declaredMs : UNKNOWN_RUN_MS;
-    const ofQueue = this.byQueue.get(queue) ?? NO_MEAN;
-    if (!this.isLearning || !isKnown(ofQueue)) return declared;
-    const ofImage = image === undefined ? NO_MEAN : this.getOfImage(queue, image);
+    const declared = declaredMs > 0 ? declaredMs : DEFAULT_RUN_MS;
+    const queueMean = this.byQueue.get(queue) ?? NO_MEAN;
+    if (!this.isLearning || !isReliable(queueMean)) return declared;
+    const imageMean = image === undefined ? NO_MEAN : this.getImageMean(queue, image);
     const errors = this.errors.get(queue) ?? NO_ERRORS;
     const getError = (error: Mean, isUsable: boolean): number =>
-      isUsable && isKnown(error) ? error.value : Infinity;
+      isUsable && isReliable(error) ? error.value : Infinity;
     return [
       { errorShare: getError(errors.declared, declaredMs > 0), valueMs: declared },
-      { errorShare: getError(errors.byImage, isKnown(ofImage)), valueMs: ofImage.value },
-      { errorShare: getError(errors.byQueue, true), valueMs: ofQueue.value },
+      { errorShare: getError(errors.byImage, isReliable(imageMean)), valueMs: imageMean.value },
+      { errorShare: getError(errors.byQueue, true), valueMs: queueMean.value },
     ].reduce((best, next) => (next.errorShare < best.errorShare ? next : best)).valueMs;
   }
 
@@ -133,9 +133,9 @@
    * @param row - The job.
    * @returns The estimate in milliseconds.
    */
-  estimateRestMs(row: DurableJobRow): number {
-    const openCounts = countOpenTasks(row);
-    return this.sumLongestChain(row, (step) => openCounts[step]! > 0);
+  estimateRemainingMs(row: DurableJobRow): number {
+    const unfinishedCounts = countUnfinishedTasks(row);
+    return this.sumLongestChain(row, (step) => unfinishedCounts[step]! > 0);
   }
 
   /**
@@ -143,12 +143,14 @@
    * @param row - The job.
    * @returns The work in thousandths of a core times milliseconds.
    */
-  estimateWork(row: DurableJobRow): number {
-    const openCounts = countOpenTasks(row);
+  estimateRemainingWork(row: DurableJobRow): number {
+    const unfinishedCounts = countUnfinishedTasks(row);
     return row.spec.steps
       .map(({ isLongRunning, demand }, step) => {
-        const openCount = isLongRunning ? 0 : openCounts[step]!;
-        return openCount === 0 ? 0 : openCount * demand.cpuMillicores * this.estimateMs(row, step);
+        const unfinishedCount = isLongRunning ? 0 : unfinishedCounts[step]!;
+        return unfinishedCount === 0
+          ? 0
+          : unfinishedCount * demand.cpuMillicores * this.estimateMs(row, step);
       })
       .reduce((sum, work) => sum + work, 0);
   }
@@ -157,7 +159,7 @@
     return `${queue} ${image}`;
   }
 
-  private getOfImage(queue: string, image: string): Mean {
+  private getImageMean(queue: string, image: string): Mean {
     return this.byImage.get(RunTimes.getImageKey(queue, image)) ?? NO_MEAN;
   }
 
--- a/src/systems/TargetRoom.ts
+++ b/src/systems/TargetCapacity.ts
@@ -20,7 +20,7 @@
  * @param step - The task's step.
  * @returns The resources.
  */
-export function getOccupied(step: StepSpec): Resources {
+export function getAllocatedResources(step: StepSpec): Resources {
   return step.isBestEffort ? { ...step.demand, cpuMillicores: 0 } : step.demand;
 }
 
@@ -31,8 +31,8 @@
  * @returns Whether one of the resources is exceeded.
  */
 export function exceedsCapacity(steps: readonly StepSpec[], capacity: Resources): boolean {
-  const sum = (read: (occupied: Resources) => number): number =>
-    steps.reduce((total, step) => total + read(getOccupied(step)), 0);
+  const sum = (read: (resources: Resources) => number): number =>
+    steps.reduce((total, step) => total + read(getAllocatedResources(step)), 0);
   return (
     sum(({ cpuMillicores }) => cpuMillicores) > capacity.cpuMillicores ||
     sum(({ memoryMb }) => memoryMb) > capacity.memoryMb ||
@@ -41,7 +41,7 @@
 }
 
 /** Tracks the free capacity of one target during a round of placement. */
-export class TargetRoom {
+export class TargetCapacity {
   readonly target: PlacementTarget;
 
   private cpuMillicores: number;
@@ -73,7 +73,7 @@
   }
 
   /** Whether a long-running task keeps the target from becoming idle. */
-  get isHeld(): boolean {
+  get hasLongRunningTasks(): boolean {
     return this.longRunningCount > 0;
   }
 
@@ -82,7 +82,7 @@
    * tasks, whether the cause would be ambiguous because the target may be one that crashes
    * regardless of its tasks, and the number of all tasks.
    */
-  get stake(): readonly number[] {
+  get crashCost(): readonly number[] {
     return [this.longRunningCount, this.target.hasJustStarted === true ? 1 : 0, this.taskCount];
   }
 
@@ -97,7 +97,7 @@
   }
 
   /** Whether the target takes tasks and is not reserved for a suspect. */
-  get isOpen(): boolean {
+  get acceptsTasks(): boolean {
     return this.target.takesTasks && !this.holdsSuspect;
   }
 
@@ -111,14 +111,14 @@
    * @param stepKey - Job, occurrence and step of the task.
    * @param step - The step.
    */
-  take(stepKey: string, step: StepSpec): void {
-    const occupied = getOccupied(step);
-    this.cpuMillicores -= occupied.cpuMillicores;
-    this.memoryMb -= occupied.memoryMb;
-    this.gpuCount -= occupied.gpuCount;
+  allocate(stepKey: string, step: StepSpec): void {
+    const allocated = getAllocatedResources(step);
+    this.cpuMillicores -= allocated.cpuMillicores;
+    this.memoryMb -= allocated.memoryMb;
+    this.gpuCount -= allocated.gpuCount;
     this.longRunningCount += step.isLongRunning ? 1 : 0;
     this.taskCount += 1;
-    this.countsByStep.set(stepKey, this.countOf(stepKey) + 1);
+    this.countsByStep.set(stepKey, this.countTasks(stepKey) + 1);
   }
 
   /**
@@ -127,13 +127,13 @@
    * @param step - The step.
    */
   release(stepKey: string, step: StepSpec): void {
-    const occupied = getOccupied(step);
-    this.cpuMillicores += occupied.cpuMillicores;
-    this.memoryMb += occupied.memoryMb;
-    this.gpuCount += occupied.gpuCount;
+    const released = getAllocatedResources(step);
+    this.cpuMillicores += released.cpuMillicores;
+    this.memoryMb += released.memoryMb;
+    this.gpuCount += released.gpuCount;
     this.longRunningCount -= step.isLongRunning ? 1 : 0;
     this.taskCount -= 1;
-    this.countsByStep.set(stepKey, this.countOf(stepKey) - 1);
+    this.countsByStep.set(stepKey, this.countTasks(stepKey) - 1);
   }
 
   /**
@@ -141,7 +141,7 @@
    * @param stepKey - Job, occurrence and step.
    * @returns The number of tasks.
    */
-  countOf(stepKey: string): number {
+  countTasks(stepKey: string): number {
     return this.countsByStep.get(stepKey) ?? 0;
   }
 
@@ -153,14 +153,14 @@
    */
   accepts(stepKey: string, step: StepSpec): boolean {
     const { labels } = this.target;
-    const occupied = getOccupied(step);
+    const needed = getAllocatedResources(step);
     return (
-      this.isOpen &&
-      occupied.cpuMillicores <= this.cpuMillicores &&
-      occupied.memoryMb <= this.memoryMb &&
-      occupied.gpuCount <= this.gpuCount &&
+      this.acceptsTasks &&
+      needed.cpuMillicores <= this.cpuMillicores &&
+      needed.memoryMb <= this.memoryMb &&
+      needed.gpuCount <= this.gpuCount &&
       (step.requiredLabel === undefined || labels.includes(step.requiredLabel)) &&
-      this.countOf(stepKey) < (step.maxTasksPerTarget ?? Infinity)
+      this.countTasks(stepKey) < (step.maxTasksPerTarget ?? Infinity)
     );
   }
 }
--- a/src/systems/VmLoad.ts
+++ b/src/systems/VmLoad.ts
@@ -1,6 +1,6 @@
 import type { PoolVmRow, VmHealthRow } from '../tables/index.js';
 import { getFailureDomain } from './getFailureDomain.js';
-import type { JobSize } from './learnedSize.js';
+import type { JobSize } from './estimateJobSize.js';
 
 /** How long a start counts as recent, in milliseconds. */
 const RECENT_START_MS = 50;
--- a/src/systems/alignSubmissions.ts
+++ b/src/systems/alignSubmissions.ts
@@ -3,7 +3,7 @@
 /** Age of a pool's newest job at a takeover above which the two clocks differ, in ms. */
 const MAX_NEWEST_AGE_MS = 60_000;
 
-function submitAt(row: DurableJobRow, submittedAtMs: number): DurableJobRow {
+function withSubmissionTime(row: DurableJobRow, submittedAtMs: number): DurableJobRow {
   return { ...row, spec: { ...row.spec, submittedAtMs } };
 }
 
@@ -30,6 +30,6 @@
   return rows.map((row) => {
     const { submittedAtMs } = row.spec;
     const alignedMs = Math.min(nowMs, submittedAtMs + (isLongRunning(row) ? 0 : shiftMs));
-    return alignedMs === submittedAtMs ? row : submitAt(row, alignedMs);
+    return alignedMs === submittedAtMs ? row : withSubmissionTime(row, alignedMs);
   });
 }
--- a/src/systems/blameCrash.ts
+++ b/src/systems/attributeCrash.ts
@@ -11,36 +11,36 @@
 }
 
 /** Result of a crash for the task of one run. */
-export interface CrashBlame {
+export interface CrashAttribution {
   /** Number of crashes that the task may have caused, including this one if applicable. */
   readonly crashCount: number;
   /** Whether the task is taken to be the cause, so that it must not be started again. */
-  readonly isToBlame: boolean;
+  readonly isCause: boolean;
 }
 
 /**
  * Time after which a run counts as stable, in milliseconds. A task that crashes its targets on
  * start does so immediately, and a longer time would include more unrelated crashes.
  */
-export const PROVEN_MS = 150;
+export const STABLE_AFTER_MS = 150;
 /** Run time after which the earlier crashes of a task are disregarded, in milliseconds. */
-const CLEARED_MS = 30_000;
+const CRASH_COUNT_RESET_MS = 30_000;
 /** Crashes after which a task is the cause although it was never the only recently started one. */
-const MAX_CRASHES = 4;
+const MAX_CRASH_COUNT = 4;
 /** Least crashes of a task that is the cause: one may be chance, as each target fails at times. */
-const MIN_CRASHES = 2;
+const MIN_CRASH_COUNT = 2;
 
 /**
  * Tells whether a run has lasted long enough that its start did not crash the target.
  * @param survivedMs - How long the target is known to have executed the run, in milliseconds.
  * @returns Whether the run is stable.
  */
-export function isProvenRun(survivedMs: number): boolean {
-  return survivedMs >= PROVEN_MS;
+export function isStableRun(survivedMs: number): boolean {
+  return survivedMs >= STABLE_AFTER_MS;
 }
 
 function isRecent({ isSent, survivedMs }: CrashedRun): boolean {
-  return isSent && !isProvenRun(survivedMs);
+  return isSent && !isStableRun(survivedMs);
 }
 
 /**
@@ -54,7 +54,7 @@
  * runs were just started: it is present on many targets that such runs crash.
  */
 function mayHaveCaused(run: CrashedRun, evidence: CrashEvidence, hasRecent: boolean): boolean {
-  if (!run.isSent || run.survivedMs >= CLEARED_MS) return false;
+  if (!run.isSent || run.survivedMs >= CRASH_COUNT_RESET_MS) return false;
   if (evidence === 'weak') return isRecent(run);
   return isRecent(run) || !run.isLongRunning || !hasRecent;
 }
@@ -70,21 +70,24 @@
  * @param evidence - Strength of the evidence; a weak crash counts only for recently started runs.
  * @returns The result for the task of each run, in the same order.
  */
-export function blameCrash(
+export function attributeCrash(
   runs: readonly CrashedRun[],
   evidence: CrashEvidence,
-): readonly CrashBlame[] {
+): readonly CrashAttribution[] {
   const recentJobs = new Set(runs.filter(isRecent).map(({ jobId }) => jobId));
   const hasRecent = recentJobs.size > 0;
   return runs.map((run) => {
-    const isCause = mayHaveCaused(run, evidence, hasRecent);
-    const isCleared = run.isSent && run.survivedMs >= CLEARED_MS;
-    const crashCount = isCleared ? 0 : run.crashCount + (isCause ? 1 : 0);
-    const isWorst = runs
+    const isPossibleCause = mayHaveCaused(run, evidence, hasRecent);
+    const isCountReset = run.isSent && run.survivedMs >= CRASH_COUNT_RESET_MS;
+    const crashCount = isCountReset ? 0 : run.crashCount + (isPossibleCause ? 1 : 0);
+    const hasMostCrashes = runs
       .filter((other) => other.isSent)
       .every((other) => other.crashCount <= run.crashCount);
-    const isAlone = evidence === 'strong' && isRecent(run) && recentJobs.size === 1;
-    const isToBlame = isCause && isWorst && crashCount >= (isAlone ? MIN_CRASHES : MAX_CRASHES);
-    return { crashCount, isToBlame };
+    const isOnlyRecentJob = evidence === 'strong' && isRecent(run) && recentJobs.size === 1;
+    const isCause =
+      isPossibleCause &&
+      hasMostCrashes &&
+      crashCount >= (isOnlyRecentJob ? MIN_CRASH_COUNT : MAX_CRASH_COUNT);
+    return { crashCount, isCause: isCause };
   });
 }
--- a/src/systems/chooseVm.ts
+++ b/src/systems/chooseVm.ts
@@ -1,6 +1,6 @@
 import type { QueuedRow } from '../tables/index.js';
 import type { Rng } from '../utils/index.js';
-import type { JobSize } from './learnedSize.js';
+import type { JobSize } from './estimateJobSize.js';
 import type { PoolLoad } from './PoolLoad.js';
 import type { VmLoad } from './VmLoad.js';
 
@@ -42,8 +42,8 @@
 function isBetter(options: ChooseVmOptions, first: VmLoad, second: VmLoad): boolean {
   if (first.failureCount !== second.failureCount) return first.failureCount < second.failureCount;
   const { load, size } = options;
-  const firstBand = Math.floor(load.rackLoadFraction(first) / RACK_LOAD_BAND_WIDTH);
-  const secondBand = Math.floor(load.rackLoadFraction(second) / RACK_LOAD_BAND_WIDTH);
+  const firstBand = Math.floor(load.getRackUtilisation(first) / RACK_LOAD_BAND_WIDTH);
+  const secondBand = Math.floor(load.getRackUtilisation(second) / RACK_LOAD_BAND_WIDTH);
   if (firstBand !== secondBand) return firstBand < secondBand;
   return first.slackAfter(size) < second.slackAfter(size);
 }
--- a/src/systems/countWholeVms.ts
+++ b/src/systems/countWholeVms.ts
@@ -1,10 +1,10 @@
 import type { DurableJobRow, StepSpec } from '../jobs/index.js';
 import { CATCH_UP_MS, LATE_CATCH_UP_MS } from './catchUpTimes.js';
 import { estimateStartByMs } from './estimateStartByMs.js';
-import { listOccupants } from './listOccupants.js';
+import { listAllocations } from './listAllocations.js';
 import { listReadyTasks, type ReadyTasks } from './listReadyTasks.js';
 import type { RunTimes } from './RunTimes.js';
-import { getStepKey, type PlacementTarget, TargetRoom } from './TargetRoom.js';
+import { getStepKey, type PlacementTarget, TargetCapacity } from './TargetCapacity.js';
 
 /** Input of {@link countWholeVms}. */
 export interface CountWholeVmsInput {
@@ -18,15 +18,15 @@
 }
 
 /** Lists the free capacity of each target with only its long-running tasks. */
-function listLastingRooms({ rows, targets }: CountWholeVmsInput): readonly TargetRoom[] {
-  const rooms = new Map(
-    targets.map((target) => [target.targetId, new TargetRoom({ ...target, takesTasks: true })]),
+function listLongTermCapacities({ rows, targets }: CountWholeVmsInput): readonly TargetCapacity[] {
+  const capacities = new Map(
+    targets.map((target) => [target.targetId, new TargetCapacity({ ...target, takesTasks: true })]),
   );
   rows
-    .flatMap((row) => listOccupants(row))
+    .flatMap((row) => listAllocations(row))
     .filter(({ step }) => step.isLongRunning)
-    .forEach(({ targetId, stepKey, step }) => rooms.get(targetId)?.take(stepKey, step));
-  return [...rooms.values()];
+    .forEach(({ targetId, stepKey, step }) => capacities.get(targetId)?.allocate(stepKey, step));
+  return [...capacities.values()];
 }
 
 /**
@@ -41,24 +41,26 @@
  */
 export function countWholeVms(input: CountWholeVmsInput): number {
   const { rows, targets, runTimes, nowMs } = input;
-  const lastingRooms = listLastingRooms(input);
-  const emptyRooms = targets.map((target) => new TargetRoom({ ...target, takesTasks: true }));
-  const fits = (rooms: readonly TargetRoom[], stepKey: string, step: StepSpec): boolean =>
-    rooms.some((room) => room.accepts(stepKey, step));
-  const countFor = (row: DurableJobRow, ready: ReadyTasks): number => {
+  const longTermCapacities = listLongTermCapacities(input);
+  const emptyCapacities = targets.map(
+    (target) => new TargetCapacity({ ...target, takesTasks: true }),
+  );
+  const fits = (capacities: readonly TargetCapacity[], stepKey: string, step: StepSpec): boolean =>
+    capacities.some((capacity) => capacity.accepts(stepKey, step));
+  const countVmsFor = (row: DurableJobRow, ready: ReadyTasks): number => {
     const step = row.spec.steps[ready.step]!;
     const stepKey = getStepKey(row, ready.occurrence, ready.step);
-    const needsWhole =
+    const needsWholeVm =
       step.requiredLabel === undefined &&
-      !fits(lastingRooms, stepKey, step) &&
-      fits(emptyRooms, stepKey, step);
-    if (!needsWhole) return 0;
+      !fits(longTermCapacities, stepKey, step) &&
+      fits(emptyCapacities, stepKey, step);
+    if (!needsWholeVm) return 0;
     const isLate = nowMs > estimateStartByMs(row, runTimes);
-    const withinMs = isLate ? LATE_CATCH_UP_MS : CATCH_UP_MS;
-    return (ready.positions.length * runTimes.estimateMs(row, ready.step)) / withinMs;
+    const catchUpMs = isLate ? LATE_CATCH_UP_MS : CATCH_UP_MS;
+    return (ready.positions.length * runTimes.estimateMs(row, ready.step)) / catchUpMs;
   };
   const vmShares = rows.flatMap((row) =>
-    listReadyTasks(row, nowMs).map((ready) => countFor(row, ready)),
+    listReadyTasks(row, nowMs).map((ready) => countVmsFor(row, ready)),
   );
   return Math.ceil(vmShares.reduce((sum, share) => sum + share, 0));
 }
--- a/src/systems/learnedSize.ts
+++ b/src/systems/estimateJobSize.ts
@@ -18,7 +18,7 @@
  * @param request - The request with its declared size.
  * @returns Cores and memory to allocate.
  */
-export function learnedSize(tables: PoolTables, request: QueuedRow): JobSize {
+export function estimateJobSize(tables: PoolTables, request: QueuedRow): JobSize {
   const history = tables.history.get(request.jobKind);
   const { coreCount, memoryMb } = request;
   if (history === undefined || history.recentMemoryMb.length === 0) return { coreCount, memoryMb };
--- a/src/systems/estimateNeededCpu.ts
+++ b/src/systems/estimateNeededCpu.ts
@@ -3,7 +3,7 @@
 import { ALL_MECHANISMS, type Mechanisms } from './mechanisms.js';
 import { estimateStartByMs } from './estimateStartByMs.js';
 import type { RunTimes } from './RunTimes.js';
-import { getOccupied } from './TargetRoom.js';
+import { getAllocatedResources } from './TargetCapacity.js';
 
 /** Input of {@link estimateNeededCpu}. */
 export interface NeededCpuInput {
@@ -42,7 +42,7 @@
     .flatMap(({ spec, tasks }) => tasks.map((task) => ({ task, step: spec.steps[task.step]! })))
     .reduce<TaskCpu>(
       ({ longRunning, placed }, { task, step }) => {
-        const { cpuMillicores } = getOccupied(step);
+        const { cpuMillicores } = getAllocatedResources(step);
         if (step.isLongRunning) return { longRunning: longRunning + cpuMillicores, placed };
         const isPlaced = task.phase === 'placed';
         return { longRunning, placed: placed + (isPlaced ? cpuMillicores : 0) };
@@ -52,7 +52,7 @@
 }
 
 function sumWork(rows: readonly DurableJobRow[], runTimes: RunTimes): number {
-  return rows.reduce((sum, row) => sum + runTimes.estimateWork(row), 0);
+  return rows.reduce((sum, row) => sum + runTimes.estimateRemainingWork(row), 0);
 }
 
 /**
@@ -69,22 +69,22 @@
 export function estimateNeededCpu(input: NeededCpuInput): NeededCpu {
   const { rows, runTimes, capacityCpuMillicores, arrivingCpuMillicores, nowMs } = input;
   const { mechanisms = ALL_MECHANISMS } = input;
-  const open = rows.filter((row) => !isFinished(row));
+  const unfinished = rows.filter((row) => !isFinished(row));
   const isLate = (row: DurableJobRow): boolean =>
     mechanisms.has('late-work-yields') && nowMs > estimateStartByMs(row, runTimes);
-  const late = new Set(open.filter(isLate));
-  const timely = open.filter((row) => !late.has(row));
-  const { longRunning } = sumTaskCpu(open);
-  const { placed } = sumTaskCpu(timely);
-  const backlog = sumWork(timely, runTimes);
+  const late = new Set(unfinished.filter(isLate));
+  const onTime = unfinished.filter((row) => !late.has(row));
+  const { longRunning } = sumTaskCpu(unfinished);
+  const { placed } = sumTaskCpu(onTime);
+  const backlog = sumWork(onTime, runTimes);
   const lateCpuMillicores = sumWork([...late], runTimes) / LATE_CATCH_UP_MS;
-  const toNeed = (forJobs: number): NeededCpu => ({
-    neededCpuMillicores: longRunning + lateCpuMillicores + Math.max(placed, forJobs),
+  const toNeed = (jobMillicores: number): NeededCpu => ({
+    neededCpuMillicores: longRunning + lateCpuMillicores + Math.max(placed, jobMillicores),
     lateCpuMillicores,
   });
   if (!mechanisms.has('arriving-demand')) return toNeed(backlog / CATCH_UP_MS);
-  const shareForJobs = Math.max(0, capacityCpuMillicores - longRunning);
-  const leftBehind = backlog + (arrivingCpuMillicores - shareForJobs) * VM_LEAD_MS;
-  const catchUp = Math.max(0, leftBehind) / CATCH_UP_MS;
-  return toNeed(arrivingCpuMillicores + catchUp);
+  const jobCapacityMillicores = Math.max(0, capacityCpuMillicores - longRunning);
+  const expectedBacklog = backlog + (arrivingCpuMillicores - jobCapacityMillicores) * VM_LEAD_MS;
+  const catchUpMillicores = Math.max(0, expectedBacklog) / CATCH_UP_MS;
+  return toNeed(arrivingCpuMillicores + catchUpMillicores);
 }
--- a/src/systems/estimateStartByMs.ts
+++ b/src/systems/estimateStartByMs.ts
@@ -11,5 +11,5 @@
   const { submittedAtMs, terms } = row.spec;
   const wholeMs = runTimes.estimateChainMs(row);
   const objectiveAtMs = submittedAtMs + terms.stretch * wholeMs + terms.targetDurationMs;
-  return objectiveAtMs - runTimes.estimateRestMs(row);
+  return objectiveAtMs - runTimes.estimateRemainingMs(row);
 }
--- a/src/systems/index.ts
+++ b/src/systems/index.ts
@@ -1,11 +1,11 @@
 export {
-  blameCrash,
-  type CrashBlame,
+  attributeCrash as attributeCrash,
+  type CrashAttribution as CrashAttribution,
   type CrashEvidence,
   type CrashedRun,
-  isProvenRun,
-  PROVEN_MS,
-} from './blameCrash.js';
+  isStableRun as isStableRun,
+  STABLE_AFTER_MS as STABLE_AFTER_MS,
+} from './attributeCrash.js';
 export { isSuspect, listSuspects, type PlacedSuspect } from './listSuspects.js';
 export { alignSubmissions } from './alignSubmissions.js';
 export { checkBudget, type CheckBudgetOptions } from './checkBudget.js';
@@ -19,7 +19,7 @@
 export { countWholeVms, type CountWholeVmsInput } from './countWholeVms.js';
 export { estimateNeededCpu, type NeededCpu, type NeededCpuInput } from './estimateNeededCpu.js';
 export { getFailureDomain } from './getFailureDomain.js';
-export { type JobSize, learnedSize } from './learnedSize.js';
+export { type JobSize, estimateJobSize as estimateJobSize } from './estimateJobSize.js';
 export { placeQueuedJobs, type PlaceQueuedJobsOptions } from './placeQueuedJobs.js';
 export { planCapacity, type PlanCapacityOptions } from './planCapacity.js';
 export { planWaveSteps, type PlanWaveStepsOptions } from './planWaveSteps.js';
@@ -33,26 +33,26 @@
   type Mechanism,
   MECHANISMS,
   type Mechanisms,
-  switchOff,
+  disableMechanisms as disableMechanisms,
 } from './mechanisms.js';
 export { type MeasuredRun, RunTimes } from './RunTimes.js';
-export { listOccupants } from './listOccupants.js';
+export { listAllocations as listAllocations } from './listAllocations.js';
 export { listReadyTasks, type ReadyTasks } from './listReadyTasks.js';
 export { placeTasks, type PlaceTasksInput, type TaskPlacement } from './placeTasks.js';
 export {
   exceedsCapacity,
-  getOccupied,
+  getAllocatedResources as getAllocatedResources,
   getStepKey,
   type PlacementTarget,
-  TargetRoom,
-} from './TargetRoom.js';
+  TargetCapacity as TargetCapacity,
+} from './TargetCapacity.js';
 export { indexLoads, type PoolDemand, type TargetLoad } from './PoolDemand.js';
 export { type Evacuation, planEvacuations, type PlanEvacuationsInput } from './planEvacuations.js';
 export {
   type MaintenanceWave,
   planMaintenance,
   type PlanMaintenanceInput,
-  STEP_MS,
+  DEFAULT_STEP_MS as DEFAULT_STEP_MS,
 } from './planMaintenance.js';
 export { planMoves, type PlanMovesInput, type VmMove } from './planMoves.js';
 export { type PaceChange, type PacedTask, planPace, type ServingLoad } from './planPace.js';
--- a/src/systems/listOccupants.ts
+++ b/src/systems/listAllocations.ts
@@ -1,9 +1,9 @@
 import { type DurableJobRow, listPlacedTasks, type StepSpec } from '../jobs/index.js';
 import { memoizeByObject } from '../utils/index.js';
-import { getStepKey } from './TargetRoom.js';
+import { getStepKey } from './TargetCapacity.js';
 
 /** The allocation of a placed task on its target. */
-export interface Occupant {
+export interface TaskAllocation {
   readonly targetId: string;
   readonly stepKey: string;
   readonly step: StepSpec;
@@ -14,7 +14,7 @@
  * @param row - The job.
  * @returns One allocation for each placed task.
  */
-export const listOccupants = memoizeByObject((row: DurableJobRow): readonly Occupant[] =>
+export const listAllocations = memoizeByObject((row: DurableJobRow): readonly TaskAllocation[] =>
   listPlacedTasks(row).map(({ task: { occurrence, step, targetId } }) => ({
     targetId: targetId!,
     stepKey: getStepKey(row, occurrence, step),
--- a/src/systems/listUntouchedVms.ts
+++ b/src/systems/listUnmaintainedVms.ts
@@ -6,7 +6,7 @@
  * @param wave - The wave.
  * @returns The live VMs without a step in the wave.
  */
-export function listUntouchedVms(tables: PoolTables, wave: WaveRow): readonly PoolVmRow[] {
+export function listUnmaintainedVms(tables: PoolTables, wave: WaveRow): readonly PoolVmRow[] {
   return tables.vms
     .list()
     .filter((vm) => vm.state === 'live' && !tables.waveSteps.has(`${wave.wave}/${vm.vm}`))
--- a/src/systems/mechanisms.ts
+++ b/src/systems/mechanisms.ts
@@ -45,6 +45,6 @@
  * @param off - The mechanisms to disable.
  * @returns The enabled mechanisms.
  */
-export function switchOff(off: readonly Mechanism[]): Mechanisms {
+export function disableMechanisms(off: readonly Mechanism[]): Mechanisms {
   return new Set(MECHANISMS.filter((mechanism) => !off.includes(mechanism)));
 }
--- a/src/systems/orderJobs.ts
+++ b/src/systems/orderJobs.ts
@@ -13,7 +13,7 @@
 }
 
 /** A job with its sort criteria. */
-interface Ranked {
+interface RankedJob {
   readonly row: DurableJobRow;
   /** Class of the job; lower classes come first regardless of their objectives. */
   readonly rank: number;
@@ -27,38 +27,38 @@
 /** Rank of long-running services, before every priority. */
 const SERVICE_RANK = -1;
 /** Added to the priority of jobs that are too late for their objective; exceeds any priority. */
-const LATE_RANK = 1_000;
+const LATE_RANK_OFFSET = 1_000;
 /**
  * Share of its allowed waiting time after which a waiting job indicates that its pool is
  * overloaded. Estimates are off by half, so with less time left about half of such jobs miss their
  * objective even if they are placed.
  */
-const OVERLOAD_SHARE = 0.5;
+const OVERLOAD_WAITED_SHARE = 0.5;
 
 function rankJob(
   row: DurableJobRow,
   { runTimes, nowMs, mechanisms = ALL_MECHANISMS }: OrderJobsOptions,
-): Ranked {
+): RankedJob {
   const { submittedAtMs, terms } = row.spec;
   const startByMs = estimateStartByMs(row, runTimes);
   const isStarted = row.state !== 'queued' && mechanisms.has('started-jobs-first');
   const waitedShare = (nowMs - submittedAtMs) / Math.max(1, startByMs - submittedAtMs);
   const common = { row, isStarted, startByMs, waitedShare };
   if (isLongRunning(row)) return { ...common, rank: SERVICE_RANK };
-  const isLast = nowMs > startByMs && mechanisms.has('late-jobs-last');
-  return { ...common, rank: terms.priority + (isLast ? LATE_RANK : 0) };
+  const isRankedLate = nowMs > startByMs && mechanisms.has('late-jobs-last');
+  return { ...common, rank: terms.priority + (isRankedLate ? LATE_RANK_OFFSET : 0) };
 }
 
-function isLate({ rank }: Ranked): boolean {
-  return rank >= LATE_RANK;
+function isLate({ rank }: RankedJob): boolean {
+  return rank >= LATE_RANK_OFFSET;
 }
 
 /** Lists the pools in which an unstarted job has waited too long to meet its objective safely. */
-function listOverloaded(ranked: readonly Ranked[]): ReadonlySet<string> {
+function listOverloadedPools(ranked: readonly RankedJob[]): ReadonlySet<string> {
   return new Set(
     ranked
       .filter((job) => !isLate(job) && job.rank !== SERVICE_RANK && !job.isStarted)
-      .filter(({ waitedShare }) => waitedShare > OVERLOAD_SHARE)
+      .filter(({ waitedShare }) => waitedShare > OVERLOAD_WAITED_SHARE)
       .map(({ row }) => row.spec.terms.pool),
   );
 }
@@ -84,19 +84,19 @@
   const { mechanisms = ALL_MECHANISMS } = options;
   const ranked = jobs.filter((row) => !isFinished(row)).map((row) => rankJob(row, options));
   const overloaded = mechanisms.has('newest-first-in-overload')
-    ? listOverloaded(ranked)
+    ? listOverloadedPools(ranked)
     : new Set<string>();
-  const isNewestFirst = (job: Ranked): boolean =>
+  const isNewestFirst = (job: RankedJob): boolean =>
     !job.isStarted && !isLate(job) && overloaded.has(job.row.spec.terms.pool);
-  const getPlace = (job: Ranked): number =>
+  const getSortKey = (job: RankedJob): number =>
     isNewestFirst(job) ? -job.row.spec.submittedAtMs : job.startByMs;
   return ranked
-    .map((job) => ({ ...job, place: getPlace(job) }))
+    .map((job) => ({ ...job, sortKey: getSortKey(job) }))
     .toSorted(
       (a, b) =>
         a.rank - b.rank ||
         Number(b.isStarted) - Number(a.isStarted) ||
-        a.place - b.place ||
+        a.sortKey - b.sortKey ||
         a.row.spec.jobId.localeCompare(b.row.spec.jobId),
     )
     .map(({ row }) => row);
--- a/src/systems/orderQueue.ts
+++ b/src/systems/orderQueue.ts
@@ -45,7 +45,7 @@
   const servedByTeam = new Map<string, number>();
   const ranked: RankedRequest[] = [...requests].sort(compareArrival).map((request) => {
     const { team } = request;
-    const served = servedByTeam.get(team) ?? load.heldByTeamCount(team);
+    const served = servedByTeam.get(team) ?? load.countTeamSlots(team);
     servedByTeam.set(team, served + 1);
     return { request, share: served / (getTeamQuota(tables.settings, team)?.weight ?? 1) };
   });
@@ -73,7 +73,7 @@
 ): readonly QueuedRow[] {
   return AGEING_RULES.flatMap((rule) => {
     const guaranteedCount = getGuaranteedSlotCount(rule.urgency, load.slotCount);
-    const missingCount = Math.max(0, guaranteedCount - load.heldByUrgencyCount(rule.urgency));
+    const missingCount = Math.max(0, guaranteedCount - load.countUrgencySlots(rule.urgency));
     return requests
       .filter((request) => request.urgency === rule.urgency)
       .filter((request) => nowMs - request.queuedAtMs >= rule.agedAfterMs)
--- a/src/systems/placeQueuedJobs.ts
+++ b/src/systems/placeQueuedJobs.ts
@@ -4,12 +4,12 @@
 import { chooseVm } from './chooseVm.js';
 import type { PlacementDecision } from './decisions.js';
 import { getTeamQuota } from './getTeamQuota.js';
-import { type JobSize, learnedSize } from './learnedSize.js';
+import { type JobSize, estimateJobSize } from './estimateJobSize.js';
 import { orderQueue } from './orderQueue.js';
 import { planPreemptions, planUnthrottles } from './planPreemptions.js';
 import { PoolLoad } from './PoolLoad.js';
 import { refuseUnservable, refuseLate } from './refuseUnservable.js';
-import { RunEstimator } from './RunEstimator.js';
+import { RunTimeEstimator } from './RunTimeEstimator.js';
 import type { VmLoad } from './VmLoad.js';
 
 /** Shares of the pool's slots that jobs of an urgency leave free for more urgent ones. */
@@ -32,7 +32,7 @@
 interface PlacementRound extends PlaceQueuedJobsOptions {
   readonly tables: PoolTables;
   readonly load: PoolLoad;
-  readonly estimator: RunEstimator;
+  readonly estimator: RunTimeEstimator;
   readonly aged: ReadonlySet<QueuedRow>;
   readonly largestVmMemoryMb: number;
   /** Sizes that fit on no VM; this stays true, since VMs only fill up during a round. */
@@ -65,7 +65,7 @@
  * measured far too large would keep a kind from ever running and being measured again.
  */
 function getPlacementSize(round: PlacementRound, request: QueuedRow): JobSize {
-  const { coreCount, memoryMb } = learnedSize(round.tables, request);
+  const { coreCount, memoryMb } = estimateJobSize(round.tables, request);
   return { coreCount, memoryMb: Math.min(memoryMb, round.largestVmMemoryMb) };
 }
 
@@ -81,7 +81,7 @@
   const { meanMs } = round.estimator.estimate(request.jobKind);
   const headroomOf = (slotCount: number): number =>
     aged.has(request) ? 0 : headroomSlotCount(urgency, slotCount, meanMs);
-  const freeQuota = quota.slotCount - load.heldByTeamCount(team);
+  const freeQuota = quota.slotCount - load.countTeamSlots(team);
   return (
     freeQuota > headroomOf(Math.min(quota.slotCount, load.slotCount)) &&
     load.freeSlotCount > headroomOf(load.slotCount)
@@ -128,14 +128,14 @@
     return undefined;
   }
   const { vm } = chosen.vm;
-  round.load.countRun({ ...request, vm }, size, round.nowMs);
+  round.load.addRun({ ...request, vm }, size, round.nowMs);
   return {
     type: 'place',
     attemptId: request.attemptId,
     vm,
     coreCount: size.coreCount,
     memoryMb: size.memoryMb,
-    reason: `${chosen.usedSlotCount} of ${chosen.vm.slotCount} slots used, ${Math.floor(chosen.freeMemoryMb)} MB left, rack ${chosen.vm.rack} ${Math.round(round.load.rackLoadFraction(chosen) * 100)} % full`,
+    reason: `${chosen.usedSlotCount} of ${chosen.vm.slotCount} slots used, ${Math.floor(chosen.freeMemoryMb)} MB left, rack ${chosen.vm.rack} ${Math.round(round.load.getRackUtilisation(chosen) * 100)} % full`,
   };
 }
 
@@ -152,7 +152,7 @@
 ): readonly PlacementDecision[] {
   const { nowMs } = options;
   if (tables.queue.size === 0 && tables.preemptions.size === 0) return [];
-  const estimator = new RunEstimator(tables);
+  const estimator = new RunTimeEstimator(tables);
   const refusals = refuseUnservable(tables, { nowMs, estimator });
   const refusedIds = new Set(refusals.map((refusal) => refusal.attemptId));
   const requests = tables.queue.list().filter(({ attemptId }) => !refusedIds.has(attemptId));
--- a/src/systems/placeTasks.ts
+++ b/src/systems/placeTasks.ts
@@ -1,11 +1,11 @@
 import type { DurableJobRow, StepSpec, TaskRow } from '../jobs/index.js';
 import { groupBy } from '../utils/index.js';
-import { listOccupants } from './listOccupants.js';
+import { listAllocations } from './listAllocations.js';
 import { listReadyTasks, type ReadyTasks } from './listReadyTasks.js';
 import { isSuspect } from './listSuspects.js';
 import { ALL_MECHANISMS, type Mechanisms } from './mechanisms.js';
-import { PoolRooms } from './PoolRooms.js';
-import { getStepKey, type PlacementTarget, TargetRoom } from './TargetRoom.js';
+import { PoolCapacity } from './PoolCapacity.js';
+import { getStepKey, type PlacementTarget, TargetCapacity } from './TargetCapacity.js';
 
 /** A task and the target on which it is to start. */
 export interface TaskPlacement {
@@ -22,21 +22,24 @@
   /** Unfinished jobs in placement order. */
   readonly jobs: readonly DurableJobRow[];
   /** Every job with tasks on targets, including finished jobs that are being stopped. */
-  readonly occupants: readonly DurableJobRow[];
+  readonly allocatedJobs: readonly DurableJobRow[];
   readonly targets: readonly PlacementTarget[];
   /** Returns the targets on which a task has failed before; other targets are preferred. */
-  readonly failedOn: (jobId: string, position: number) => ReadonlySet<string>;
+  readonly getFailedTargets: (jobId: string, position: number) => ReadonlySet<string>;
   /** Wall-clock time in milliseconds since the Unix epoch. */
   readonly nowMs: number;
   /** Enabled mechanisms; all if absent. */
   readonly mechanisms?: Mechanisms;
 }
 
-const NONE: ReadonlySet<string> = new Set();
+const NO_TARGETS: ReadonlySet<string> = new Set();
 
-function occupy(rooms: ReadonlyMap<string, TargetRoom>, row: DurableJobRow): void {
-  listOccupants(row).forEach(({ targetId, stepKey, step }) =>
-    rooms.get(targetId)?.take(stepKey, step),
+function allocatePlacedTasks(
+  capacities: ReadonlyMap<string, TargetCapacity>,
+  row: DurableJobRow,
+): void {
+  listAllocations(row).forEach(({ targetId, stepKey, step }) =>
+    capacities.get(targetId)?.allocate(stepKey, step),
   );
 }
 
@@ -52,37 +55,37 @@
  *   that step, so that maintenance affects few of them at a time.
  * - Targets that already run long-running tasks come first, since these never become idle.
  */
-function chooseRoom(
-  rooms: readonly TargetRoom[],
+function chooseTarget(
+  capacities: readonly TargetCapacity[],
   step: StepSpec,
   stepKey: string,
   task: TaskRow,
-  failed: ReadonlySet<string>,
+  failedTargets: ReadonlySet<string>,
   isFullestFirst: boolean,
-): TargetRoom | undefined {
-  const preference = (room: TargetRoom): readonly number[] => [
-    failed.has(room.target.targetId) ? 1 : 0,
-    step.dataRack !== undefined && room.target.rack !== step.dataRack ? 1 : 0,
-    step.maxUnavailableCount === undefined ? 0 : room.countOf(stepKey),
-    isFullestFirst && !room.isHeld ? 1 : 0,
-    isFullestFirst ? room.freeCpuMillicores : -room.freeCpuMillicores,
+): TargetCapacity | undefined {
+  const getPreference = (capacity: TargetCapacity): readonly number[] => [
+    failedTargets.has(capacity.target.targetId) ? 1 : 0,
+    step.dataRack !== undefined && capacity.target.rack !== step.dataRack ? 1 : 0,
+    step.maxUnavailableCount === undefined ? 0 : capacity.countTasks(stepKey),
+    isFullestFirst && !capacity.hasLongRunningTasks ? 1 : 0,
+    isFullestFirst ? capacity.freeCpuMillicores : -capacity.freeCpuMillicores,
   ];
-  const preferenceOfSuspect = (room: TargetRoom): readonly number[] => [
-    ...room.stake,
-    ...preference(room),
+  const getSuspectPreference = (capacity: TargetCapacity): readonly number[] => [
+    ...capacity.crashCost,
+    ...getPreference(capacity),
   ];
-  const rankRoom = isSuspect(task) ? preferenceOfSuspect : preference;
+  const getRank = isSuspect(task) ? getSuspectPreference : getPreference;
   const isBetter = (a: readonly number[], b: readonly number[]): boolean => {
-    const place = a.findIndex((value, index) => value !== b[index]);
-    return place >= 0 && a[place]! < b[place]!;
+    const firstDifference = a.findIndex((value, index) => value !== b[index]);
+    return firstDifference >= 0 && a[firstDifference]! < b[firstDifference]!;
   };
-  return rooms
-    .filter((room) => room.accepts(stepKey, step))
-    .map((room) => ({ room, rank: rankRoom(room) }))
-    .reduce<{ readonly room: TargetRoom; readonly rank: readonly number[] } | undefined>(
+  return capacities
+    .filter((capacity) => capacity.accepts(stepKey, step))
+    .map((capacity) => ({ capacity: capacity, rank: getRank(capacity) }))
+    .reduce<{ readonly capacity: TargetCapacity; readonly rank: readonly number[] } | undefined>(
       (best, next) => (best === undefined || isBetter(next.rank, best.rank) ? next : best),
       undefined,
-    )?.room;
+    )?.capacity;
 }
 
 /** Ready tasks of one step and occurrence, and how targets are chosen for them. */
@@ -91,27 +94,27 @@
   readonly ready: ReadyTasks;
   readonly step: StepSpec;
   readonly stepKey: string;
-  readonly failedOn: PlaceTasksInput['failedOn'];
+  readonly getFailedTargets: PlaceTasksInput['getFailedTargets'];
   readonly isFullestFirst: boolean;
 }
 
 /** Places tasks one by one until one does not fit; the others of the step would not fit either. */
-function placeInTurn(
-  { row, ready, step, stepKey, failedOn, isFullestFirst }: StepPlacement,
-  rooms: readonly TargetRoom[],
+function placeOneByOne(
+  { row, ready, step, stepKey, getFailedTargets: getFailedTargets, isFullestFirst }: StepPlacement,
+  capacities: readonly TargetCapacity[],
 ): readonly TaskPlacement[] {
   const { jobId } = row.spec;
   let isFull = false;
   return ready.positions.flatMap((position): readonly TaskPlacement[] => {
     if (isFull) return [];
     const task = row.tasks[position]!;
-    const failed = task.failureCount > 0 ? failedOn(jobId, position) : NONE;
-    const room = chooseRoom(rooms, step, stepKey, task, failed, isFullestFirst);
-    isFull = room === undefined;
-    if (room === undefined) return [];
-    const { freeCpuMillicores, target } = room;
-    room.take(stepKey, step);
-    if (isSuspect(task) && !step.isGang) room.reserve();
+    const failedTargets = task.failureCount > 0 ? getFailedTargets(jobId, position) : NO_TARGETS;
+    const capacity = chooseTarget(capacities, step, stepKey, task, failedTargets, isFullestFirst);
+    isFull = capacity === undefined;
+    if (capacity === undefined) return [];
+    const { freeCpuMillicores, target } = capacity;
+    capacity.allocate(stepKey, step);
+    if (isSuspect(task) && !step.isGang) capacity.reserve();
     return [{ jobId, position, targetId: target.targetId, freeCpuMillicores }];
   });
 }
@@ -119,19 +122,19 @@
 /** Places all members of a gang on the given targets, or none. */
 function placeMembers(
   placement: StepPlacement,
-  rooms: readonly TargetRoom[],
+  capacities: readonly TargetCapacity[],
 ): readonly TaskPlacement[] {
   const { step, stepKey } = placement;
-  const members = placeInTurn(placement, rooms);
-  const getRoom = ({ targetId }: TaskPlacement): TargetRoom =>
-    rooms.find(({ target }) => target.targetId === targetId)!;
+  const members = placeOneByOne(placement, capacities);
+  const getCapacity = ({ targetId }: TaskPlacement): TargetCapacity =>
+    capacities.find(({ target }) => target.targetId === targetId)!;
   if (members.length < step.taskCount) {
-    members.forEach((member) => getRoom(member).release(stepKey, step));
+    members.forEach((member) => getCapacity(member).release(stepKey, step));
     return [];
   }
   members
     .filter(({ position }) => isSuspect(placement.row.tasks[position]!))
-    .forEach((member) => getRoom(member).reserve());
+    .forEach((member) => getCapacity(member).reserve());
   return members;
 }
 
@@ -141,12 +144,14 @@
  */
 function placeGang(
   placement: StepPlacement,
-  rooms: readonly TargetRoom[],
+  capacities: readonly TargetCapacity[],
 ): readonly TaskPlacement[] {
   const { ready, step } = placement;
   if (ready.positions.length < step.taskCount) return [];
-  const racks = step.wantsSameRack ? [...groupBy(rooms, ({ target }) => target.rack).values()] : [];
-  return [...racks, rooms].reduce<readonly TaskPlacement[]>(
+  const racks = step.wantsSameRack
+    ? [...groupBy(capacities, ({ target }) => target.rack).values()]
+    : [];
+  return [...racks, capacities].reduce<readonly TaskPlacement[]>(
     (placed, candidates) => (placed.length > 0 ? placed : placeMembers(placement, candidates)),
     [],
   );
@@ -158,23 +163,41 @@
  * @returns The placements; a gang is placed completely or not at all.
  */
 export function placeTasks(input: PlaceTasksInput): readonly TaskPlacement[] {
-  const { jobs, occupants, targets, failedOn, nowMs, mechanisms = ALL_MECHANISMS } = input;
+  const {
+    jobs,
+    allocatedJobs: allocatedJobs,
+    targets,
+    getFailedTargets: getFailedTargets,
+    nowMs,
+    mechanisms = ALL_MECHANISMS,
+  } = input;
   const isFullestFirst = mechanisms.has('fullest-target-first');
-  const rooms = new Map(targets.map((target) => [target.targetId, new TargetRoom(target)]));
-  occupants.forEach((row) => occupy(rooms, row));
-  const byPool = groupBy([...rooms.values()], (room) => room.target.pool);
-  const pools = new Map([...byPool].map(([pool, ofPool]) => [pool, new PoolRooms(ofPool)]));
+  const capacities = new Map(
+    targets.map((target) => [target.targetId, new TargetCapacity(target)]),
+  );
+  allocatedJobs.forEach((row) => allocatePlacedTasks(capacities, row));
+  const capacitiesByPool = groupBy([...capacities.values()], (capacity) => capacity.target.pool);
+  const pools = new Map(
+    [...capacitiesByPool].map(([pool, poolCapacities]) => [pool, new PoolCapacity(poolCapacities)]),
+  );
   return jobs.flatMap((row) => {
     const pool = pools.get(row.spec.terms.pool);
     if (pool === undefined) return [];
     return listReadyTasks(row, nowMs).flatMap((ready) => {
       const step = row.spec.steps[ready.step]!;
-      if (!pool.mayTake(step)) return [];
+      if (!pool.mayFit(step)) return [];
       const stepKey = getStepKey(row, ready.occurrence, ready.step);
-      const placement = { row, ready, step, stepKey, failedOn, isFullestFirst };
-      const place = step.isGang ? placeGang : placeInTurn;
-      const placed = place(placement, pool.rooms);
-      if (placed.length > 0) pool.noteTaken();
+      const placement = {
+        row,
+        ready,
+        step,
+        stepKey,
+        getFailedTargets: getFailedTargets,
+        isFullestFirst,
+      };
+      const placeStep = step.isGang ? placeGang : placeOneByOne;
+      const placed = placeStep(placement, pool.capacities);
+      if (placed.length > 0) pool.invalidateCache();
       return placed;
     });
   });
--- a/src/systems/planCapacity.ts
+++ b/src/systems/planCapacity.ts
@@ -4,8 +4,8 @@
 import type { CapacityDecision } from './decisions.js';
 import { DomainSlots } from './DomainSlots.js';
 import { getMaxStepsInProgress } from './getMaxStepsInProgress.js';
-import { listUntouchedVms } from './listUntouchedVms.js';
-import { noteLosses } from './noteLosses.js';
+import { listUnmaintainedVms } from './listUnmaintainedVms.js';
+import { updateLosses } from './updateLosses.js';
 import { isLost, isQuarantined, listSteppedVms } from './vmStates.js';
 
 /** How long a lost VM still counts: most come back at once, and a move costs more than that. */
@@ -70,7 +70,7 @@
 function findWaveNeed(tables: PoolTables, steppedVms: ReadonlySet<string>): WaveNeed | undefined {
   const wave = tables.waves.list().find(({ state }) => state === 'running');
   if (wave === undefined) return undefined;
-  const remainingVmCount = listUntouchedVms(tables, wave).length + steppedVms.size;
+  const remainingVmCount = listUnmaintainedVms(tables, wave).length + steppedVms.size;
   const maxStepCount = getMaxStepsInProgress(tables, wave);
   return {
     unavailableVmCount: Math.min(remainingVmCount, maxStepCount),
@@ -273,7 +273,7 @@
   options: PlanCapacityOptions,
 ): readonly CapacityDecision[] {
   const { nowMs, unassignedVms } = options;
-  noteLosses(tables, nowMs);
+  updateLosses(tables, nowMs);
   const plan = measureCapacity(tables, nowMs);
   const adoptions = planAdoptions(plan, unassignedVms);
   const busyVms = listBusyVms(tables);
--- a/src/systems/planEvacuations.ts
+++ b/src/systems/planEvacuations.ts
@@ -1,5 +1,5 @@
 import { type DurableJobRow, isFinished, isLongRunning } from '../jobs/index.js';
-import { getStepKey } from './TargetRoom.js';
+import { getStepKey } from './TargetCapacity.js';
 
 /** A task that is to be stopped and restarted on another target. */
 export interface Evacuation {
@@ -14,7 +14,7 @@
   /** Targets that are being drained. */
   readonly drainedTargets: ReadonlySet<string>;
   /** Tells whether a placed task is known to be running now. */
-  readonly isAtWork: (row: DurableJobRow, position: number) => boolean;
+  readonly isRunning: (row: DurableJobRow, position: number) => boolean;
 }
 
 /**
@@ -28,24 +28,24 @@
  * @returns The tasks to stop.
  */
 export function planEvacuations(input: PlanEvacuationsInput): readonly Evacuation[] {
-  const { jobs, drainedTargets, isAtWork } = input;
+  const { jobs, drainedTargets, isRunning: isRunning } = input;
   return jobs
     .filter((row) => isLongRunning(row) && !isFinished(row))
     .flatMap((row) => {
-      const awayByStep = new Map<string, number>();
+      const unavailableByStep = new Map<string, number>();
       row.tasks.forEach(({ occurrence, step }, position) => {
         const key = getStepKey(row, occurrence, step);
-        const isAway = !isAtWork(row, position);
-        awayByStep.set(key, (awayByStep.get(key) ?? 0) + (isAway ? 1 : 0));
+        const isUnavailable = !isRunning(row, position);
+        unavailableByStep.set(key, (unavailableByStep.get(key) ?? 0) + (isUnavailable ? 1 : 0));
       });
       return row.tasks.flatMap(({ occurrence, step, phase, targetId }, position) => {
-        const { isLongRunning: isLasting, maxUnavailableCount = 1 } = row.spec.steps[step]!;
-        const isConcerned = phase === 'placed' && drainedTargets.has(targetId!);
-        if (!isLasting || !isConcerned || !isAtWork(row, position)) return [];
+        const { isLongRunning: isStepLongRunning, maxUnavailableCount = 1 } = row.spec.steps[step]!;
+        const isOnDrainedTarget = phase === 'placed' && drainedTargets.has(targetId!);
+        if (!isStepLongRunning || !isOnDrainedTarget || !isRunning(row, position)) return [];
         const key = getStepKey(row, occurrence, step);
-        const awayCount = awayByStep.get(key)!;
-        if (awayCount >= maxUnavailableCount) return [];
-        awayByStep.set(key, awayCount + 1);
+        const unavailableCount = unavailableByStep.get(key)!;
+        if (unavailableCount >= maxUnavailableCount) return [];
+        unavailableByStep.set(key, unavailableCount + 1);
         return [{ jobId: row.spec.jobId, position }];
       });
     });
--- a/src/systems/planMaintenance.ts
+++ b/src/systems/planMaintenance.ts
@@ -24,7 +24,7 @@
   readonly inProgress: ReadonlySet<string>;
   /** Monotonic time in milliseconds. */
   readonly nowMs: number;
-  /** Observed time that a VM is out of service, in milliseconds; {@link STEP_MS} if absent. */
+  /** Observed time that a VM is out of service, in milliseconds; {@link DEFAULT_STEP_MS} if absent. */
   readonly stepMs?: number;
 }
 
@@ -32,16 +32,16 @@
  * Longest time that a VM is out of service, in milliseconds: its tasks end within about 4 s, and
  * the maintenance takes 2 s.
  */
-export const STEP_MS = 6_000;
+export const DEFAULT_STEP_MS = 6_000;
 /** Safety margin before the deadline of a wave for slow VMs, in milliseconds. */
-const SPARE_MS = 4_000;
+const DEADLINE_MARGIN_MS = 4_000;
 /** Share of a pool's VMs that may be out of service at once while the wave is on schedule. */
 const MAX_POOL_SHARE = 0.34;
-const MIN_LEFT_MS = 1_000;
+const MIN_REMAINING_MS = 1_000;
 
 /** Counts the VMs that must be out of service at once to complete the wave in time. */
 function countNeededAtOnce(remainingCount: number, leftMs: number, stepMs: number): number {
-  return Math.ceil((remainingCount * stepMs) / Math.max(leftMs, MIN_LEFT_MS));
+  return Math.ceil((remainingCount * stepMs) / Math.max(leftMs, MIN_REMAINING_MS));
 }
 
 /**
@@ -52,13 +52,13 @@
  * @returns Names of the VMs, in the order in which they are to be drained.
  */
 export function planMaintenance(input: PlanMaintenanceInput): readonly string[] {
-  const { wave, vms, loads, inProgress, nowMs, stepMs = STEP_MS } = input;
+  const { wave, vms, loads, inProgress, nowMs, stepMs = DEFAULT_STEP_MS } = input;
   const inWave = new Set(wave.vms);
   const remaining = vms.filter(
     ({ vm, state }) =>
       inWave.has(vm) && !wave.doneVms.has(vm) && !inProgress.has(vm) && state === 'up',
   );
-  const leftMs = wave.deadlineMs - SPARE_MS - nowMs;
+  const leftMs = wave.deadlineMs - DEADLINE_MARGIN_MS - nowMs;
   const neededCount = countNeededAtOnce(remaining.length + inProgress.size, leftMs, stepMs);
   const isLate = neededCount > wave.maxDownCount;
   const freeCount = Math.min(wave.maxDownCount, neededCount + 1) - inProgress.size;
@@ -70,16 +70,16 @@
   vms
     .filter(({ vm }) => inProgress.has(vm))
     .forEach(({ pool }) => outByPool.set(pool, (outByPool.get(pool) ?? 0) + 1));
-  const getWork = ({ targetId }: FleetVm): number =>
+  const getRunCount = ({ targetId }: FleetVm): number =>
     targetId === undefined ? -1 : (loads.get(targetId)?.runCount ?? Infinity);
   return remaining
-    .toSorted((a, b) => getWork(a) - getWork(b) || a.vm.localeCompare(b.vm))
+    .toSorted((a, b) => getRunCount(a) - getRunCount(b) || a.vm.localeCompare(b.vm))
     .filter((vm) => {
       const outCount = outByPool.get(vm.pool) ?? 0;
       const limit = Math.max(1, Math.floor((upByPool.get(vm.pool)?.length ?? 0) * MAX_POOL_SHARE));
-      const isSpared = vm.targetId === undefined || isLate || outCount < limit;
-      if (isSpared) outByPool.set(vm.pool, outCount + 1);
-      return isSpared;
+      const mayDrain = vm.targetId === undefined || isLate || outCount < limit;
+      if (mayDrain) outByPool.set(vm.pool, outCount + 1);
+      return mayDrain;
     })
     .slice(0, Math.max(0, freeCount))
     .map(({ vm }) => vm);
--- a/src/systems/planMoves.ts
+++ b/src/systems/planMoves.ts
@@ -17,24 +17,24 @@
   /** VMs that must not be moved: drained, moving, in a wave, or moved recently. */
   readonly heldVms: ReadonlySet<string>;
   /** Held VMs that stay in service in their pool: an earlier home has recently moved them there. */
-  readonly stayingVms?: ReadonlySet<string>;
+  readonly usableHeldVms?: ReadonlySet<string>;
   /** Number of VMs that are moving to each pool. */
   readonly arrivingByPool: ReadonlyMap<string, number>;
-  /** Reserve VMs that each pool keeps without load; {@link MIN_KEPT_COUNT} if absent. */
-  readonly keptCounts?: ReadonlyMap<string, number>;
+  /** Reserve VMs that each pool keeps without load; {@link MIN_RESERVE_COUNT} if absent. */
+  readonly reserveCounts?: ReadonlyMap<string, number>;
   /** Whether idle pools give up part of their reserve if another pool is short of VMs. */
-  readonly yieldsKept?: boolean;
+  readonly releasesReserves?: boolean;
 }
 
 /** Assumed CPU of one VM if the pool has no target, in thousandths of a core. */
 const TYPICAL_VM_MILLICORES = 32_000;
 /** Least reserve VMs of a pool without work, for the first tasks of its next load peak. */
-export const MIN_KEPT_COUNT = 3;
+export const MIN_RESERVE_COUNT = 3;
 /**
  * Reserve VMs of a pool without work while another pool is short of VMs. Otherwise a pool whose
  * load peak needed 1,200 cores had 600, while three idle pools kept 16 VMs of 32 cores in reserve.
  */
-const MIN_KEPT_IN_SHORTAGE = 2;
+const MIN_RESERVE_IN_SHORTAGE = 2;
 /**
  * Most VMs that are ordered at once for one pool: half of the 64 calls per second that the platform
  * accepts. At the start of a load peak, a pool of 50 targets needs 45; with a limit of 8 per
@@ -48,18 +48,18 @@
 interface PoolBalance {
   readonly demand: PoolDemand;
   /** VMs of the pool that are up and may be moved. */
-  readonly upVms: readonly FleetVm[];
-  readonly haveCount: number;
+  readonly movableVms: readonly FleetVm[];
+  readonly availableCount: number;
   /** VMs needed for the tasks that run or wait now; at most the total need. */
-  readonly presentCount: number;
+  readonly currentNeedCount: number;
   /** VMs needed by the time at which a VM that is ordered now is available. */
   readonly needCount: number;
   /** Part of the total need for work that is not too late for its objective. */
-  readonly timelyCount: number;
+  readonly onTimeNeedCount: number;
   /** Reserve VMs that the pool keeps without load. */
-  readonly idleCount: number;
+  readonly reserveCount: number;
   /** VMs that the pool does not give to other pools. */
-  readonly keptCount: number;
+  readonly retainedCount: number;
   /** VMs without long-running tasks, present or arriving, that exceed the need for whole VMs. */
   readonly spareWholeCount: number;
 }
@@ -88,39 +88,47 @@
   input: PlanMovesInput,
   loads: ReadonlyMap<string, TargetLoad>,
 ): PoolBalance {
-  const { vms, heldVms, stayingVms = NO_VMS, arrivingByPool, keptCounts } = input;
+  const {
+    vms,
+    heldVms,
+    usableHeldVms: usableHeldVms = NO_VMS,
+    arrivingByPool,
+    reserveCounts: reserveCounts,
+  } = input;
   const { pool, targets, neededCpuMillicores, lateCpuMillicores, waitingCpuMillicores } = demand;
   const upInPool = vms.filter((vm) => vm.pool === pool && vm.state === 'up');
-  const upVms = upInPool.filter(({ vm }) => !heldVms.has(vm));
-  const stayingCount = upInPool.filter(({ vm }) => stayingVms.has(vm)).length;
-  const idleCount = keptCounts?.get(pool) ?? MIN_KEPT_COUNT;
-  const comingCount = stayingCount + (arrivingByPool.get(pool) ?? 0);
-  const wholeCount = upVms.filter((vm) => isWhole(vm, loads)).length + comingCount;
+  const movableVms = upInPool.filter(({ vm }) => !heldVms.has(vm));
+  const usableHeldCount = upInPool.filter(({ vm }) => usableHeldVms.has(vm)).length;
+  const reserveCount = reserveCounts?.get(pool) ?? MIN_RESERVE_COUNT;
+  const arrivingCount = usableHeldCount + (arrivingByPool.get(pool) ?? 0);
+  const wholeCount = movableVms.filter((vm) => isWhole(vm, loads)).length + arrivingCount;
   const vmMillicores = targets[0]?.cpuMillicores ?? TYPICAL_VM_MILLICORES;
   const needCount = Math.ceil(neededCpuMillicores / vmMillicores);
   const usedCpuMillicores = targets.reduce((sum, target) => sum + target.usedCpuMillicores, 0);
-  const presentCount = Math.ceil((usedCpuMillicores + waitingCpuMillicores) / vmMillicores);
+  const currentNeedCount = Math.ceil((usedCpuMillicores + waitingCpuMillicores) / vmMillicores);
   return {
     demand,
-    upVms,
-    haveCount: upVms.length + comingCount,
-    presentCount: Math.min(needCount, presentCount),
+    movableVms: movableVms,
+    availableCount: movableVms.length + arrivingCount,
+    currentNeedCount: Math.min(needCount, currentNeedCount),
     needCount,
-    timelyCount: Math.ceil((neededCpuMillicores - lateCpuMillicores) / vmMillicores),
-    idleCount,
-    keptCount: Math.max(needCount, idleCount),
+    onTimeNeedCount: Math.ceil((neededCpuMillicores - lateCpuMillicores) / vmMillicores),
+    reserveCount: reserveCount,
+    retainedCount: Math.max(needCount, reserveCount),
     spareWholeCount: wholeCount - demand.wholeVmCount,
   };
 }
 
 /** Number of VMs that a pool lacks and is to get. */
-interface WantedVms {
+interface VmShortage {
   readonly pool: string;
   readonly count: number;
 }
 
 /** Compares VMs by their number of runs in ascending order; VMs with unknown load come last. */
-function byRunCount(loads: ReadonlyMap<string, TargetLoad>): (a: FleetVm, b: FleetVm) => number {
+function compareByRunCount(
+  loads: ReadonlyMap<string, TargetLoad>,
+): (a: FleetVm, b: FleetVm) => number {
   const getRunCount = (vm: FleetVm): number => getLoad(loads, vm)?.runCount ?? Infinity;
   return (a, b) => getRunCount(a) - getRunCount(b);
 }
@@ -130,26 +138,26 @@
  * VM that still runs tasks is drained before its move. VMs with long-running tasks stay.
  */
 function listSpareVms(
-  { upVms, haveCount, spareWholeCount }: PoolBalance,
-  keptCount: number,
+  { movableVms: movableVms, availableCount: availableCount, spareWholeCount }: PoolBalance,
+  retainedCount: number,
   loads: ReadonlyMap<string, TargetLoad>,
 ): readonly FleetVm[] {
-  const spareCount = Math.min(haveCount - keptCount, spareWholeCount);
-  return upVms
+  const spareCount = Math.min(availableCount - retainedCount, spareWholeCount);
+  return movableVms
     .filter((vm) => isWhole(vm, loads))
-    .toSorted(byRunCount(loads))
+    .toSorted(compareByRunCount(loads))
     .slice(0, Math.max(0, spareCount));
 }
 
 /** Lists the spare VMs of all pools, given what each one keeps; the fewest runs come first. */
 function listAllSpareVms(
   balances: readonly PoolBalance[],
-  getKeptCount: (balance: PoolBalance) => number,
+  getRetainedCount: (balance: PoolBalance) => number,
   loads: ReadonlyMap<string, TargetLoad>,
 ): readonly FleetVm[] {
   return balances
-    .flatMap((balance) => listSpareVms(balance, getKeptCount(balance), loads))
-    .toSorted(byRunCount(loads));
+    .flatMap((balance) => listSpareVms(balance, getRetainedCount(balance), loads))
+    .toSorted(compareByRunCount(loads));
 }
 
 /** Limits the number of VMs that are ordered at once for a pool. */
@@ -158,10 +166,10 @@
 }
 
 /** Lists the pools that lack VMs, those that lack most first. */
-function listWanted(
+function listShortages(
   balances: readonly PoolBalance[],
   getMissingCount: (balance: PoolBalance) => number,
-): readonly WantedVms[] {
+): readonly VmShortage[] {
   return balances
     .map((balance) => ({ pool: balance.demand.pool, count: getMissingCount(balance) }))
     .filter(({ count }) => count > 0)
@@ -174,23 +182,36 @@
  * four times the fleet took every free VM, while tasks of a pool at the start of its load peak
  * waited with three VMs.
  */
-function listNeeded(balances: readonly PoolBalance[]): readonly WantedVms[] {
-  const getWhole = ({ spareWholeCount }: PoolBalance): number => limitMoves(-spareWholeCount);
-  const getPresent = (balance: PoolBalance): number =>
-    Math.max(getWhole(balance), limitMoves(balance.presentCount - balance.haveCount));
-  const getForeseen = (balance: PoolBalance): number =>
-    Math.max(getPresent(balance), limitMoves(balance.needCount - balance.haveCount));
+function listShortagesByPriority(balances: readonly PoolBalance[]): readonly VmShortage[] {
+  const getWholeVmShortage = ({ spareWholeCount }: PoolBalance): number =>
+    limitMoves(-spareWholeCount);
+  const getCurrentShortage = (balance: PoolBalance): number =>
+    Math.max(
+      getWholeVmShortage(balance),
+      limitMoves(balance.currentNeedCount - balance.availableCount),
+    );
+  const getForecastShortage = (balance: PoolBalance): number =>
+    Math.max(getCurrentShortage(balance), limitMoves(balance.needCount - balance.availableCount));
   return [
-    ...listWanted(balances, getWhole),
-    ...listWanted(balances, (balance) => getPresent(balance) - getWhole(balance)),
-    ...listWanted(balances, (balance) => getForeseen(balance) - getPresent(balance)),
+    ...listShortages(balances, getWholeVmShortage),
+    ...listShortages(
+      balances,
+      (balance) => getCurrentShortage(balance) - getWholeVmShortage(balance),
+    ),
+    ...listShortages(
+      balances,
+      (balance) => getForecastShortage(balance) - getCurrentShortage(balance),
+    ),
   ];
 }
 
-function giveVms(wanted: readonly WantedVms[], available: readonly FleetVm[]): readonly VmMove[] {
-  const left = [...available];
-  return wanted.flatMap(({ pool, count }) =>
-    left.splice(0, count).map(({ vm, pool: fromPool }) => ({ vm, fromPool, toPool: pool })),
+function assignVms(
+  shortages: readonly VmShortage[],
+  available: readonly FleetVm[],
+): readonly VmMove[] {
+  const remaining = [...available];
+  return shortages.flatMap(({ pool, count }) =>
+    remaining.splice(0, count).map(({ vm, pool: fromPool }) => ({ vm, fromPool, toPool: pool })),
   );
 }
 
@@ -203,23 +224,36 @@
  * jobs that had a tenth of their value left, and every job of the next pool, which had six VMs, was
  * late.
  */
-function planYields(
+function planMovesFromLateWork(
   balances: readonly PoolBalance[],
-  given: readonly VmMove[],
+  assigned: readonly VmMove[],
   loads: ReadonlyMap<string, TargetLoad>,
-  yieldsKept: boolean,
+  releasesReserves: boolean,
 ): readonly VmMove[] {
-  const countGiven = (pool: string): number => given.filter(({ toPool }) => toPool === pool).length;
-  const wanted = listWanted(balances, ({ demand, timelyCount, presentCount, haveCount }) =>
-    limitMoves(Math.min(timelyCount, presentCount) - haveCount - countGiven(demand.pool)),
+  const countAssigned = (pool: string): number =>
+    assigned.filter(({ toPool }) => toPool === pool).length;
+  const shortages = listShortages(
+    balances,
+    ({
+      demand,
+      onTimeNeedCount: onTimeNeedCount,
+      currentNeedCount: currentNeedCount,
+      availableCount: availableCount,
+    }) =>
+      limitMoves(
+        Math.min(onTimeNeedCount, currentNeedCount) - availableCount - countAssigned(demand.pool),
+      ),
   );
-  const taken = new Set(given.map(({ vm }) => vm));
-  const getKeptCount = ({ timelyCount, idleCount }: PoolBalance): number =>
-    Math.max(timelyCount, yieldsKept ? MIN_KEPT_IN_SHORTAGE : idleCount);
-  const yielding = listAllSpareVms(balances, getKeptCount, loads);
-  return giveVms(
-    wanted,
-    yielding.filter(({ vm }) => !taken.has(vm)),
+  const assignedNames = new Set(assigned.map(({ vm }) => vm));
+  const getRetainedCount = ({
+    onTimeNeedCount: onTimeNeedCount,
+    reserveCount: reserveCount,
+  }: PoolBalance): number =>
+    Math.max(onTimeNeedCount, releasesReserves ? MIN_RESERVE_IN_SHORTAGE : reserveCount);
+  const reclaimable = listAllSpareVms(balances, getRetainedCount, loads);
+  return assignVms(
+    shortages,
+    reclaimable.filter(({ vm }) => !assignedNames.has(vm)),
   );
 }
 
@@ -236,7 +270,14 @@
  * @returns The moves.
  */
 export function planMoves(input: PlanMovesInput): readonly VmMove[] {
-  const { demands, vms, standbyPools, heldVms, keptCounts, yieldsKept = false } = input;
+  const {
+    demands,
+    vms,
+    standbyPools,
+    heldVms,
+    reserveCounts: reserveCounts,
+    releasesReserves: releasesReserves = false,
+  } = input;
   const standby = vms.filter(
     ({ vm, pool, state }) => standbyPools.has(pool) && state === 'up' && !heldVms.has(vm),
   );
@@ -244,24 +285,31 @@
   const balances = demands
     .filter(({ pool }) => !standbyPools.has(pool))
     .map((demand) => balancePool(demand, input, loads));
-  const spare = listAllSpareVms(balances, ({ keptCount }) => keptCount, loads);
-  const wanted = listNeeded(balances);
-  const kept =
-    yieldsKept && wanted.length > 0
+  const spare = listAllSpareVms(
+    balances,
+    ({ retainedCount: retainedCount }) => retainedCount,
+    loads,
+  );
+  const shortages = listShortagesByPriority(balances);
+  const reserves =
+    releasesReserves && shortages.length > 0
       ? listAllSpareVms(
           balances,
-          ({ needCount }) => Math.max(needCount, MIN_KEPT_IN_SHORTAGE),
+          ({ needCount }) => Math.max(needCount, MIN_RESERVE_IN_SHORTAGE),
           loads,
         )
       : [];
   // VMs are assigned in this order, so reserves are used only when nothing else is left.
-  const available = [...new Set([...standby, ...spare, ...kept])];
-  const given = giveVms(wanted, available);
-  const moves = [...given, ...planYields(balances, given, loads, yieldsKept)];
+  const available = [...new Set([...standby, ...spare, ...reserves])];
+  const assigned = assignVms(shortages, available);
+  const moves = [
+    ...assigned,
+    ...planMovesFromLateWork(balances, assigned, loads, releasesReserves),
+  ];
   if (moves.length > 0) return moves;
-  return giveVms(
-    listWanted(balances, ({ demand, haveCount }) =>
-      limitMoves((keptCounts?.get(demand.pool) ?? 0) - haveCount),
+  return assignVms(
+    listShortages(balances, ({ demand, availableCount: availableCount }) =>
+      limitMoves((reserveCounts?.get(demand.pool) ?? 0) - availableCount),
     ),
     [...spare, ...standby],
   );
--- a/src/systems/planPace.ts
+++ b/src/systems/planPace.ts
@@ -20,13 +20,13 @@
 }
 
 /** Share of a latency target above which best-effort tasks are slowed, before it is missed. */
-const TIGHT_SHARE = 0.85;
+const SLOWDOWN_SHARE = 0.85;
 /** Share of a latency target below which best-effort tasks speed up again. */
-const EASY_SHARE = 0.6;
+const SPEEDUP_SHARE = 0.6;
 /** Speed after the first reduction; the second one pauses, both within 2 s of the first report. */
 const REDUCED_PERCENT = 30;
 /** Increase with each report, which takes about seven seconds from a pause to full speed. */
-const RAISE_PERCENT = 15;
+const SPEEDUP_PERCENT = 15;
 const FULL_PERCENT = 100;
 
 /**
@@ -46,12 +46,12 @@
     0,
     ...serving.map(({ latencyMs, latencyTargetMs }) => latencyMs / latencyTargetMs),
   );
-  const choose = (percent: number): number => {
-    if (share > TIGHT_SHARE) return percent > REDUCED_PERCENT ? REDUCED_PERCENT : 0;
-    return share < EASY_SHARE ? Math.min(FULL_PERCENT, percent + RAISE_PERCENT) : percent;
+  const choosePercent = (percent: number): number => {
+    if (share > SLOWDOWN_SHARE) return percent > REDUCED_PERCENT ? REDUCED_PERCENT : 0;
+    return share < SPEEDUP_SHARE ? Math.min(FULL_PERCENT, percent + SPEEDUP_PERCENT) : percent;
   };
   return paced
-    .map(({ taskName, run, percent }) => ({ taskName, run, percent, next: choose(percent) }))
+    .map(({ taskName, run, percent }) => ({ taskName, run, percent, next: choosePercent(percent) }))
     .filter(({ percent, next }) => next !== percent)
     .map(({ taskName, run, next }) => ({ taskName, run, percent: next }));
 }
--- a/src/systems/planPreemptions.ts
+++ b/src/systems/planPreemptions.ts
@@ -1,7 +1,7 @@
 import type { GrantRow, PoolTables, QueuedRow } from '../tables/index.js';
 import type { PlacementDecision } from './decisions.js';
 import { getTeamQuota } from './getTeamQuota.js';
-import { learnedSize } from './learnedSize.js';
+import { estimateJobSize } from './estimateJobSize.js';
 import { getGuaranteedSlotCount } from './orderQueue.js';
 import { type PoolLoad, THROTTLED_CORE_FRACTION } from './PoolLoad.js';
 
@@ -50,7 +50,7 @@
 /** Whether a request's team holds all the slots that its quota gives it. */
 function isAtQuota(options: PlanPreemptionsOptions, request: QueuedRow): boolean {
   const quota = getTeamQuota(options.tables.settings, request.team);
-  return options.load.heldByTeamCount(request.team) >= (quota?.slotCount ?? 0);
+  return options.load.countTeamSlots(request.team) >= (quota?.slotCount ?? 0);
 }
 
 /**
@@ -61,7 +61,7 @@
   if (request.excludedVms.includes(grant.vm)) return false;
   const helpsQuota = grant.team === request.team && isCheckpointable(options.tables, grant);
   if (isAtQuota(options, request) && !helpsQuota) return false;
-  const size = learnedSize(options.tables, request);
+  const size = estimateJobSize(options.tables, request);
   const vmLoad = options.load.getVmLoad(grant.vm);
   return vmLoad !== undefined && vmLoad.fits(size, getFreedResources(options.tables, grant));
 }
--- a/src/systems/planWaveSteps.ts
+++ b/src/systems/planWaveSteps.ts
@@ -5,8 +5,8 @@
 import { getFailureDomain } from './getFailureDomain.js';
 import { getMaxStepsInProgress } from './getMaxStepsInProgress.js';
 import { isWithinWindow } from './isWithinWindow.js';
-import { listUntouchedVms } from './listUntouchedVms.js';
-import { noteLosses } from './noteLosses.js';
+import { listUnmaintainedVms } from './listUnmaintainedVms.js';
+import { updateLosses } from './updateLosses.js';
 import { NO_PROGRESS, type WaveProgress } from './WaveProgress.js';
 
 /** Options of {@link planWaveSteps}. */
@@ -38,7 +38,7 @@
 function listRemainingVms(plan: WavePlan): readonly PoolVmRow[] {
   const { failureDomain } = plan.tables.settings.availability;
   const sortKeys = new Map<PoolVmRow, string>();
-  listUntouchedVms(plan.tables, plan.wave).forEach((vm) => {
+  listUnmaintainedVms(plan.tables, plan.wave).forEach((vm) => {
     const out = plan.budget.isAccepting(vm.vm) ? 1 : 0;
     const domain = getFailureDomain(vm, failureDomain === 'data-centre' ? failureDomain : 'rack');
     sortKeys.set(vm, [out, domain, getFailureDomain(vm, 'rack'), vm.worker, vm.vm].join(' '));
@@ -138,7 +138,7 @@
   tables: PoolTables,
   options: PlanWaveStepsOptions,
 ): readonly WaveDecision[] {
-  noteLosses(tables, options.nowMs);
+  updateLosses(tables, options.nowMs);
   const waves = tables.waves.list();
   if (waves.length === 0) return [];
   const budget = new AvailabilityBudget({ tables, nowMs: options.nowMs });
--- a/src/systems/recordRun.ts
+++ b/src/systems/recordRun.ts
@@ -2,7 +2,7 @@
 import type { JobKindHistoryRow, PoolTables, VmHealthRow } from '../tables/index.js';
 import { AvailabilityBudget } from './AvailabilityBudget.js';
 import type { RunVerdict } from './decisions.js';
-import { MEMORY_FLOOR_FRACTION } from './learnedSize.js';
+import { MEMORY_FLOOR_FRACTION } from './estimateJobSize.js';
 import { quantile } from './quantile.js';
 import { MAX_FAILED_VM_COUNT } from './refuseUnservable.js';
 
--- a/src/systems/refuseUnservable.ts
+++ b/src/systems/refuseUnservable.ts
@@ -2,7 +2,7 @@
 import { groupBy } from '../utils/index.js';
 import type { PlacementDecision } from './decisions.js';
 import { getTeamQuota } from './getTeamQuota.js';
-import type { RunEstimator } from './RunEstimator.js';
+import type { RunTimeEstimator } from './RunTimeEstimator.js';
 
 /** VMs on which a request has to fail before the request itself counts as at fault. */
 export const MAX_FAILED_VM_COUNT = 3;
@@ -27,7 +27,7 @@
 export interface RefuseOptions {
   /** Monotonic time, in milliseconds. */
   readonly nowMs: number;
-  readonly estimator: RunEstimator;
+  readonly estimator: RunTimeEstimator;
 }
 
 /** Decision to refuse a request. */
--- a/src/systems/noteLosses.ts
+++ b/src/systems/updateLosses.ts
@@ -6,7 +6,7 @@
  * @param tables - State of the pool, whose losses are updated.
  * @param nowMs - Monotonic time, in milliseconds.
  */
-export function noteLosses(tables: PoolTables, nowMs: number): void {
+export function updateLosses(tables: PoolTables, nowMs: number): void {
   tables.losses
     .list()
     .map((loss) => loss.vm)
--- a/src/taskHome/CrashAttribution.ts
+++ b/src/taskHome/CrashAttribution.ts
@@ -1,5 +1,5 @@
 import { parseTaskName, type CrashOutcome } from '../jobs/index.js';
-import { blameCrash, type CrashedRun, isProvenRun } from '../systems/index.js';
+import { attributeCrash, type CrashedRun, isStableRun } from '../systems/index.js';
 import type { Clock } from '../utils/index.js';
 import type { JobTable } from './JobTable.js';
 import type { JobTelemetry } from './JobTelemetry.js';
@@ -69,7 +69,7 @@
    */
   isProven(taskName: string, targetId: string): boolean {
     const begunAtMs = this.options.orders.find(taskName)?.begunAtMs;
-    return isProvenRun(this.getSurvivedMs(begunAtMs, targetId));
+    return isStableRun(this.getSurvivedMs(begunAtMs, targetId));
   }
 
   /**
@@ -111,9 +111,9 @@
     const { runs = [], hasJustStarted = false } = this.losses.get(targetId) ?? {};
     this.losses.delete(targetId);
     const crashed = runs.map((lost) => this.describeCrashedRun(lost));
-    const verdicts = blameCrash(crashed, isWithRack || hasJustStarted ? 'weak' : 'strong');
+    const verdicts = attributeCrash(crashed, isWithRack || hasJustStarted ? 'weak' : 'strong');
     return runs.map(({ run }, index): AttributedCrash => {
-      const { crashCount, isToBlame } = verdicts[index]!;
+      const { crashCount, isCause: isToBlame } = verdicts[index]!;
       return { run, crash: { crashCount, isTaskGivenUp: isToBlame } };
     });
   }
--- a/src/taskHome/JobTable.ts
+++ b/src/taskHome/JobTable.ts
@@ -14,7 +14,7 @@
   type TaskRow,
 } from '../jobs/index.js';
 import type { KeyedRecord } from '../store/index.js';
-import { listOccupants } from '../systems/index.js';
+import { listAllocations } from '../systems/index.js';
 import { type Clock, SystemClock } from '../utils/index.js';
 import type { RunKey } from './RunKey.js';
 
@@ -97,7 +97,7 @@
    * @returns Their ids.
    */
   listUsedTargets(): ReadonlySet<string> {
-    const occupants = this.listActive().flatMap((row) => listOccupants(row));
+    const occupants = this.listActive().flatMap((row) => listAllocations(row));
     return new Set(occupants.map(({ targetId }) => targetId));
   }
 
--- a/src/taskHome/PlacementRounds.ts
+++ b/src/taskHome/PlacementRounds.ts
@@ -121,9 +121,9 @@
     const placements = placeTasks({
       jobs: orderJobs(readyJobs, { runTimes, mechanisms, nowMs: clock.wallMs() }),
       mechanisms,
-      occupants: rows,
+      allocatedJobs: rows,
       targets: this.listTargets(rows),
-      failedOn: (jobId, position) => runs.getFailedTargets(jobId, position),
+      getFailedTargets: (jobId, position) => runs.getFailedTargets(jobId, position),
       nowMs: dueAtMs,
     });
     return placements.map((placement) => runs.reserve(placement));
--- a/src/taskHome/RunConfirmations.ts
+++ b/src/taskHome/RunConfirmations.ts
@@ -1,5 +1,5 @@
 import { setTimeout as sleep } from 'node:timers/promises';
-import { PROVEN_MS } from '../systems/index.js';
+import { STABLE_AFTER_MS } from '../systems/index.js';
 import type { OrderedRun } from './RunOrder.js';
 import type { TargetCallOptions } from './TargetCallOptions.js';
 
@@ -13,7 +13,7 @@
 /**
  * Time from a start to its confirmation, in milliseconds; includes a margin for the first answer.
  */
-const CONFIRM_AFTER_MS = PROVEN_MS + 50;
+const CONFIRM_AFTER_MS = STABLE_AFTER_MS + 50;
 
 /**
  * Checks early whether a target has survived the start of a task that may have crashed others.
--- a/src/taskHome/RunStopper.ts
+++ b/src/taskHome/RunStopper.ts
@@ -48,7 +48,7 @@
     const evacuations = planEvacuations({
       jobs: table.listActive(),
       drainedTargets,
-      isAtWork: (row, position) => this.isAtWork(row, row.tasks[position]!),
+      isRunning: (row, position) => this.isAtWork(row, row.tasks[position]!),
     });
     evacuations.forEach(({ jobId, position }) => {
       const row = table.getActive(jobId)!;
--- a/src/taskHome/RunTimer.ts
+++ b/src/taskHome/RunTimer.ts
@@ -43,6 +43,6 @@
     if (placedAtMs === undefined || !isDone) return;
     const { estimatedRunMs: declaredMs, image } = spec.steps[tasks[position]!.step]!;
     const runMs = this.clock.monotonicMs() - placedAtMs;
-    this.runTimes.note({ queue: spec.terms.queue, image, declaredMs, runMs });
+    this.runTimes.record({ queue: spec.terms.queue, image, declaredMs, runMs });
   }
 }
--- a/src/taskHome/TaskHome.ts
+++ b/src/taskHome/TaskHome.ts
@@ -127,7 +127,7 @@
     if (this.writer.isStalled) throwError('log-unavailable', 'The store does not answer.');
     const row = createJobRow({ ...spec, submittedAtMs: this.options.clock.wallMs() });
     this.table.add(row);
-    this.arrivals.get(spec.terms.pool).note(this.runs.runTimes.estimateWork(row));
+    this.arrivals.get(spec.terms.pool).record(this.runs.runTimes.estimateRemainingWork(row));
     try {
       await this.flush();
     } catch (thrown) {
@@ -209,7 +209,7 @@
       countRuns: (targetId) => this.runs.countOn(targetId),
       runTimes: this.runs.runTimes,
       arrivingCpuMillicores: mechanisms.has('rise-foreseen')
-        ? arrivals.foreseenCpuMillicores
+        ? arrivals.forecastCpuMillicores
         : arrivals.cpuMillicores,
       mechanisms,
       nowMs: this.wallClock.wallMs(),
--- a/src/taskHome/describeDemand.ts
+++ b/src/taskHome/describeDemand.ts
@@ -2,7 +2,7 @@
 import {
   countWholeVms,
   estimateNeededCpu,
-  getOccupied,
+  getAllocatedResources,
   listReadyTasks,
   type Mechanisms,
   type PlacementTarget,
@@ -30,7 +30,7 @@
     .flatMap((row) =>
       listReadyTasks(row, nowMs).map(
         ({ step, positions }) =>
-          positions.length * getOccupied(row.spec.steps[step]!).cpuMillicores,
+          positions.length * getAllocatedResources(row.spec.steps[step]!).cpuMillicores,
       ),
     )
     .reduce((sum, cpuMillicores) => sum + cpuMillicores, 0);
@@ -69,7 +69,7 @@
           runCount: Math.max(tasksOnTarget.length, countRuns(targetId)),
           longRunningCount: tasksOnTarget.filter(({ step }) => step.isLongRunning).length,
           usedCpuMillicores: tasksOnTarget.reduce(
-            (sum, { step }) => sum + getOccupied(step).cpuMillicores,
+            (sum, { step }) => sum + getAllocatedResources(step).cpuMillicores,
             0,
           ),
           cpuMillicores: capacity.cpuMillicores,
--- a/tests/systems/ArrivalRate.test.ts
+++ b/tests/systems/ArrivalRate.test.ts
@@ -10,7 +10,7 @@
   const rate = new ArrivalRate(clock);
   Array.from({ length: count }).forEach(() => {
     clock.advance(gapMs);
-    rate.note(WORK);
+    rate.record(WORK);
   });
   return rate.cpuMillicores;
 }
@@ -28,7 +28,7 @@
     const clock = new ManualClock();
     const rate = new ArrivalRate(clock);
     clock.advance(10_000);
-    [0, 50, 100].forEach(() => rate.note(WORK));
+    [0, 50, 100].forEach(() => rate.record(WORK));
     expect(rate.cpuMillicores).toBe(15_000);
   });
 
@@ -40,10 +40,10 @@
     // One job in 350 ms, then five.
     [350, 70, 70, 70, 70, 70].forEach((gapMs) => {
       clock.advance(gapMs);
-      rate.note(WORK);
+      rate.record(WORK);
     });
     expect(rate.cpuMillicores).toBeCloseTo(86_000, -3);
-    expect(rate.foreseenCpuMillicores).toBeCloseTo((2 * 6 * WORK) / 350, -3);
+    expect(rate.forecastCpuMillicores).toBeCloseTo((2 * 6 * WORK) / 350, -3);
   });
 
   it('does not extrapolate a steady rate or a few arrivals', () => {
@@ -51,18 +51,18 @@
     const steady = new ArrivalRate(clock);
     Array.from({ length: 30 }).forEach(() => {
       clock.advance(60);
-      steady.note(WORK);
+      steady.record(WORK);
     });
-    expect(steady.foreseenCpuMillicores).toBe(steady.cpuMillicores);
+    expect(steady.forecastCpuMillicores).toBe(steady.cpuMillicores);
     const few = new ArrivalRate(clock);
-    [0, 50, 100].forEach(() => few.note(WORK));
-    expect(few.foreseenCpuMillicores).toBe(few.cpuMillicores);
+    [0, 50, 100].forEach(() => few.record(WORK));
+    expect(few.forecastCpuMillicores).toBe(few.cpuMillicores);
   });
 
   it('forgets what came long ago', () => {
     const clock = new ManualClock();
     const rate = new ArrivalRate(clock);
-    rate.note(WORK);
+    rate.record(WORK);
     clock.advance(3_000);
     expect(rate.cpuMillicores).toBe(0);
   });
--- a/tests/systems/PoolRooms.test.ts
+++ b/tests/systems/PoolCapacity.test.ts
@@ -1,7 +1,7 @@
 import { afterEach, describe, expect, it, vi } from 'vitest';
 import { createJobRow, placeTask } from '../../src/jobs/index.js';
-import { type PlacementTarget, placeTasks, TargetRoom } from '../../src/systems/index.js';
-import { PoolRooms } from '../../src/systems/PoolRooms.js';
+import { type PlacementTarget, placeTasks, TargetCapacity } from '../../src/systems/index.js';
+import { PoolCapacity } from '../../src/systems/PoolCapacity.js';
 import { makeEntry, makeJob, makeStep } from '../taskHome/HomeWorld.js';
 
 const CORE = 1_000;
@@ -20,35 +20,35 @@
   afterEach(() => vi.restoreAllMocks());
 
   it('counts the processor that is free in open rooms alone', () => {
-    const closed = new TargetRoom(makeTarget('t1', { takesTasks: false }));
-    const suspected = new TargetRoom(makeTarget('t2', { holdsSuspect: true }));
-    const open = new TargetRoom(makeTarget('t3'));
-    open.take('a.0.0', makeStepOf(3));
-    const pool = new PoolRooms([closed, suspected, open]);
-    expect(pool.mayTake(makeStepOf(1))).toBe(true);
-    expect(pool.mayTake(makeStepOf(2))).toBe(false);
+    const closed = new TargetCapacity(makeTarget('t1', { takesTasks: false }));
+    const suspected = new TargetCapacity(makeTarget('t2', { holdsSuspect: true }));
+    const open = new TargetCapacity(makeTarget('t3'));
+    open.allocate('a.0.0', makeStepOf(3));
+    const pool = new PoolCapacity([closed, suspected, open]);
+    expect(pool.mayFit(makeStepOf(1))).toBe(true);
+    expect(pool.mayFit(makeStepOf(2))).toBe(false);
   });
 
   it('recomputes the free CPU after an allocation', () => {
-    const room = new TargetRoom(makeTarget('t1'));
-    const pool = new PoolRooms([room]);
-    expect(pool.mayTake(makeStepOf(4))).toBe(true);
-    room.take('a.0.0', makeStepOf(3));
-    pool.noteTaken();
-    expect(pool.mayTake(makeStepOf(4))).toBe(false);
+    const room = new TargetCapacity(makeTarget('t1'));
+    const pool = new PoolCapacity([room]);
+    expect(pool.mayFit(makeStepOf(4))).toBe(true);
+    room.allocate('a.0.0', makeStepOf(3));
+    pool.invalidateCache();
+    expect(pool.mayFit(makeStepOf(4))).toBe(false);
   });
 
   it('takes tasks without processor of their own into a full pool', () => {
-    const room = new TargetRoom(makeTarget('t1'));
-    room.take('a.0.0', makeStepOf(TARGET_CORES));
+    const room = new TargetCapacity(makeTarget('t1'));
+    room.allocate('a.0.0', makeStepOf(TARGET_CORES));
     const bestEffort = makeStep({ isBestEffort: true });
-    expect(new PoolRooms([room]).mayTake(bestEffort)).toBe(true);
+    expect(new PoolCapacity([room]).mayFit(bestEffort)).toBe(true);
   });
 
   // Guards against placement rounds that become slower with each waiting job because they scan all
   // targets for each one.
   it('is not scanned for each waiting job while it is full', () => {
-    const accepts = vi.spyOn(TargetRoom.prototype, 'accepts');
+    const accepts = vi.spyOn(TargetCapacity.prototype, 'accepts');
     const filling = createJobRow(makeJob('full', [makeStepOf(TARGET_CORES)]));
     const full = placeTask(filling, 0, 't1');
     const waiting = Array.from({ length: 100 }, (_j, number) =>
@@ -56,9 +56,9 @@
     );
     const placements = placeTasks({
       jobs: waiting,
-      occupants: [full, ...waiting],
+      allocatedJobs: [full, ...waiting],
       targets: [makeTarget('t1')],
-      failedOn: () => new Set(),
+      getFailedTargets: () => new Set(),
       nowMs: 0,
     });
     expect(placements).toEqual([]);
--- a/tests/systems/PoolPeaks.test.ts
+++ b/tests/systems/PoolPeaks.test.ts
@@ -31,15 +31,15 @@
   // of its jobs were late.
   it('keeps a quarter of what operators gave a pool, and of the most that it used', () => {
     const peaks = new PoolPeaks(new ManualClock());
-    peaks.note(makeDemand('small', fill(6, 0)));
-    peaks.note(makeDemand('large', fill(50, 0)));
-    expect([...peaks.getKeptCounts()]).toEqual([
+    peaks.record(makeDemand('small', fill(6, 0)));
+    peaks.record(makeDemand('large', fill(50, 0)));
+    expect([...peaks.getReserveCounts()]).toEqual([
       ['small', 3],
       ['large', 13],
     ]);
-    peaks.note(makeDemand('small', fill(24, VM_CORES)));
-    peaks.note(makeDemand('small', fill(4, 0)));
-    expect(peaks.getKeptCounts().get('small')).toBe(6);
+    peaks.record(makeDemand('small', fill(24, VM_CORES)));
+    peaks.record(makeDemand('small', fill(4, 0)));
+    expect(peaks.getReserveCounts().get('small')).toBe(6);
   });
 
   // Guards against lost peaks at a takeover: after a power failure, a pool that had used 40 VMs
@@ -48,13 +48,13 @@
   it('goes on with the peaks of an earlier home, whatever its pools have at that moment', () => {
     const clock = new ManualClock();
     const earlier = new PoolPeaks(clock);
-    earlier.note(makeDemand('emptied', fill(40, VM_CORES)));
-    earlier.note(makeDemand('flooded', fill(12, VM_CORES)));
+    earlier.record(makeDemand('emptied', fill(40, VM_CORES)));
+    earlier.record(makeDemand('flooded', fill(12, VM_CORES)));
     const peaks = new PoolPeaks(clock, earlier.list());
-    peaks.note(makeDemand('emptied', fill(3, 0)));
-    peaks.note(makeDemand('flooded', fill(180, 1)));
-    peaks.note(makeDemand('new', fill(20, 0)));
-    expect([...peaks.getKeptCounts()]).toEqual([
+    peaks.record(makeDemand('emptied', fill(3, 0)));
+    peaks.record(makeDemand('flooded', fill(180, 1)));
+    peaks.record(makeDemand('new', fill(20, 0)));
+    expect([...peaks.getReserveCounts()]).toEqual([
       ['emptied', 10],
       ['flooded', 3],
       ['new', 5],
@@ -66,20 +66,20 @@
   it('keeps a peak while the time of day jumps, also over a change of homes', () => {
     const clock = new ManualClock();
     const earlier = new PoolPeaks(clock);
-    earlier.note(makeDemand('a', fill(40, VM_CORES)));
+    earlier.record(makeDemand('a', fill(40, VM_CORES)));
     clock.jump(2_400_000);
-    earlier.note(makeDemand('a', fill(4, 0)));
-    expect(earlier.getKeptCounts().get('a')).toBe(10);
+    earlier.record(makeDemand('a', fill(4, 0)));
+    expect(earlier.getReserveCounts().get('a')).toBe(10);
     const peaks = new PoolPeaks(clock, earlier.list());
     clock.jump(2_400_000);
-    expect(peaks.getKeptCounts().get('a')).toBe(10);
+    expect(peaks.getReserveCounts().get('a')).toBe(10);
   });
 
   it('forgets a peak slowly', () => {
     const clock = new ManualClock();
     const peaks = new PoolPeaks(clock);
-    peaks.note(makeDemand('a', fill(40, VM_CORES)));
+    peaks.record(makeDemand('a', fill(40, VM_CORES)));
     clock.advance(300_000);
-    expect(peaks.getKeptCounts().get('a')).toBe(5);
+    expect(peaks.getReserveCounts().get('a')).toBe(5);
   });
 });
--- a/tests/systems/RunTimes.test.ts
+++ b/tests/systems/RunTimes.test.ts
@@ -16,7 +16,7 @@
 ): void {
   Array.from({ length: count }).forEach((_unused, number) => {
     const [image, declaredMs, runMs] = runOf(number);
-    runTimes.note({ queue: QUEUE, image, declaredMs, runMs });
+    runTimes.record({ queue: QUEUE, image, declaredMs, runMs });
   });
 }
 
--- a/tests/systems/estimateNeededCpu.test.ts
+++ b/tests/systems/estimateNeededCpu.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 import { createJobRow, type DurableJobRow, placeTask } from '../../src/jobs/index.js';
-import { estimateNeededCpu, RunTimes, switchOff } from '../../src/systems/index.js';
+import { estimateNeededCpu, RunTimes, disableMechanisms } from '../../src/systems/index.js';
 import { makeJob, makeStep } from '../taskHome/HomeWorld.js';
 
 const WIDE = makeStep({ taskCount: 4, estimatedRunMs: 2_000 });
@@ -53,7 +53,7 @@
     const tooLate = { ...QUIET, nowMs: Date.now() + 60_000 };
     // 160 core-s in 10 s, without arriving work.
     expect(estimateNeededCpu({ rows, ...tooLate }).neededCpuMillicores).toBe(16_000);
-    const mechanisms = switchOff(['late-work-yields']);
+    const mechanisms = disableMechanisms(['late-work-yields']);
     expect(estimateNeededCpu({ rows, ...tooLate, mechanisms }).neededCpuMillicores).toBe(48_000);
   });
 
--- a/tests/systems/invariants.test.ts
+++ b/tests/systems/invariants.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from 'vitest';
 import {
   checkBudget,
-  learnedSize,
+  estimateJobSize,
   placeQueuedJobs,
   planCapacity,
   planWaveSteps,
@@ -107,7 +107,7 @@
         placeQueuedJobs(tables, { nowMs, rng }).forEach((decision) => {
           if (decision.type !== 'place') return;
           const row = tables.queue.getOrThrow(decision.attemptId);
-          expect(learnedSize(tables, row).memoryMb).toBe(decision.memoryMb);
+          expect(estimateJobSize(tables, row).memoryMb).toBe(decision.memoryMb);
           tables.queue.remove(row.attemptId);
           const { attemptId, queuedAtMs, excludedVms, ...rest } = row;
           tables.grants.put({ ...makeGrant(attemptId, decision.vm), ...rest, grantedAtMs: nowMs });
--- a/tests/systems/placeTasks.test.ts
+++ b/tests/systems/placeTasks.test.ts
@@ -12,7 +12,7 @@
   type PlacementTarget,
   placeTasks,
   RunTimes,
-  switchOff,
+  disableMechanisms,
 } from '../../src/systems/index.js';
 import { makeEntry, makeJob, makeStep } from '../taskHome/HomeWorld.js';
 
@@ -27,8 +27,14 @@
 }
 
 function place(jobs: readonly DurableJobRow[], targets: readonly PlacementTarget[]) {
-  const failedOn = () => new Set<string>();
-  return placeTasks({ jobs, occupants: jobs, targets, failedOn, nowMs: NOW_MS });
+  const getFailedTargets = () => new Set<string>();
+  return placeTasks({
+    jobs,
+    allocatedJobs: jobs,
+    targets,
+    getFailedTargets: getFailedTargets,
+    nowMs: NOW_MS,
+  });
 }
 
 describe('placeTasks', () => {
@@ -71,9 +77,9 @@
     const failed = { ...row, tasks: row.tasks.map((task) => ({ ...task, failureCount: 1 })) };
     const placed = placeTasks({
       jobs: [failed],
-      occupants: [failed],
+      allocatedJobs: [failed],
       targets: [makeTarget('t1'), makeTarget('t2')],
-      failedOn: () => new Set(['t1']),
+      getFailedTargets: () => new Set(['t1']),
       nowMs: NOW_MS,
     });
     expect(placed[0]?.targetId).toBe('t2');
@@ -86,9 +92,9 @@
     const next = makeRow('b', [makeStep()]);
     const placed = placeTasks({
       jobs: [next],
-      occupants: [cancelled, next],
+      allocatedJobs: [cancelled, next],
       targets: [makeTarget('t1')],
-      failedOn: () => new Set(),
+      getFailedTargets: () => new Set(),
       nowMs: NOW_MS,
     });
     expect(placed).toEqual([]);
@@ -144,7 +150,7 @@
     const small = makeRow('small', [makeStep()]);
     const options = { runTimes: new RunTimes(), nowMs: Date.now() };
     const listIds = (off: readonly Mechanism[]): readonly string[] =>
-      orderJobs([small, begun], { ...options, mechanisms: switchOff(off) }).map(
+      orderJobs([small, begun], { ...options, mechanisms: disableMechanisms(off) }).map(
         ({ spec }) => spec.jobId,
       );
     expect(listIds([])).toEqual(['begun', 'small']);
--- a/tests/systems/planFleet.test.ts
+++ b/tests/systems/planFleet.test.ts
@@ -117,8 +117,8 @@
   it('counts the VMs that an earlier home has just moved and that work', () => {
     const held = new Set(['p2', 'p3']);
     const vms = [...input.vms, makeVm('p2', 'pages'), makeVm('p3', 'pages')];
-    const plan = (stayingVms: ReadonlySet<string>) =>
-      planMoves({ ...input, vms, heldVms: held, stayingVms });
+    const plan = (usableHeldVms: ReadonlySet<string>) =>
+      planMoves({ ...input, vms, heldVms: held, usableHeldVms: usableHeldVms });
     expect(plan(held)).toEqual([]);
     expect(plan(new Set())).toHaveLength(2);
   });
@@ -140,9 +140,11 @@
   // Guards against unused reserves: at its height a load peak had half of the capacity it needed
   // and most of its jobs were late, while three idle pools kept VMs for future peaks.
   it('takes what idle pools keep where a pool is short, after everything else', () => {
-    const keptCounts = new Map([['archive', 4]]);
-    const plan = (yieldsKept: boolean): readonly string[] =>
-      planMoves({ ...input, keptCounts, yieldsKept }).map(({ vm }) => vm);
+    const reserveCounts = new Map([['archive', 4]]);
+    const plan = (releasesReserves: boolean): readonly string[] =>
+      planMoves({ ...input, reserveCounts: reserveCounts, releasesReserves: releasesReserves }).map(
+        ({ vm }) => vm,
+      );
     expect(plan(false)).toEqual(['s1']);
     expect(plan(true)).toEqual(['s1', 'a1']);
   });
@@ -152,11 +154,11 @@
   // VMs idled in the pool of the previous peak.
   it('gives pools back what they keep once no pool is short', () => {
     const calm = [demands[0]!, makeDemand('pages', 0, [makeLoad('p1', 1)])];
-    const keptCounts = new Map([
+    const reserveCounts = new Map([
       ['archive', 2],
       ['pages', 3],
     ]);
-    const moves = planMoves({ ...input, demands: calm, keptCounts });
+    const moves = planMoves({ ...input, demands: calm, reserveCounts: reserveCounts });
     expect(moves.map(({ vm, toPool }) => `${vm} ${toPool}`)).toEqual(['a1 pages', 'a2 pages']);
   });
 
@@ -238,31 +240,33 @@
   const drainedTargets = new Set(['t1']);
 
   it('stops as many tasks of a step as may be unavailable', () => {
-    const isAtWork = () => true;
-    expect(planEvacuations({ jobs: [placed], drainedTargets, isAtWork })).toHaveLength(1);
+    const isRunning = () => true;
+    expect(planEvacuations({ jobs: [placed], drainedTargets, isRunning: isRunning })).toHaveLength(
+      1,
+    );
   });
 
   // Guards against counting only the stops by the system itself: users lost two of three nodes of a
   // service during maintenance, since one was restarting after a crash when the system stopped
   // another to drain its VM.
   it('stops none while another task of the step is not at work', () => {
-    const isAtWork = (_row: unknown, position: number) => position !== 2;
-    expect(planEvacuations({ jobs: [placed], drainedTargets, isAtWork })).toEqual([]);
+    const isRunning = (_row: unknown, position: number) => position !== 2;
+    expect(planEvacuations({ jobs: [placed], drainedTargets, isRunning: isRunning })).toEqual([]);
   });
 
   // Guards against a drained target that uses up the CPU of a small home because each planning
   // round checks for every task of every job whether it is running.
   it('does not check whether tasks that end by themselves are running', () => {
     const short = createJobRow(makeJob('b', [makeStep({ taskCount: 3 })]));
-    const isAtWork = vi.fn(() => true);
-    expect(planEvacuations({ jobs: [short], drainedTargets, isAtWork })).toEqual([]);
-    expect(isAtWork).not.toHaveBeenCalled();
+    const isRunning = vi.fn(() => true);
+    expect(planEvacuations({ jobs: [short], drainedTargets, isRunning: isRunning })).toEqual([]);
+    expect(isRunning).not.toHaveBeenCalled();
   });
 
   it('stops no task of a step that allows no unavailable task', () => {
     const steps = [{ ...step, maxUnavailableCount: 0 }];
     const strict = { ...placed, spec: { ...placed.spec, steps } };
-    const isAtWork = () => true;
-    expect(planEvacuations({ jobs: [strict], drainedTargets, isAtWork })).toEqual([]);
+    const isRunning = () => true;
+    expect(planEvacuations({ jobs: [strict], drainedTargets, isRunning: isRunning })).toEqual([]);
   });
 });
