--- a/scripts/durableJobMutants.ts
+++ b/scripts/durableJobMutants.ts
@@ -176,7 +176,7 @@
     find: 'if (areHomesSilent) return true;',
     replace: '',
     test: 'tests/systems/shouldHoldHomes.test.ts',
-    name: 'comes back where no home answers, whoever is said to hold them',
+    name: 'takes part again when no home answers, whichever instances are listed as owners',
   },
   {
     failure: 'tasks on an address that an entry of another writer names',
--- a/scripts/mutantList.ts
+++ b/scripts/mutantList.ts
@@ -17,19 +17,19 @@
 export const MUTANTS: readonly Mutant[] = [
   {
     failure: 'a loss of the largest failure domain on top of a planned step',
-    file: 'src/systems/BudgetTally.ts',
-    find: 'if (leftSlotCount < neededSlotCount) {',
-    replace: 'if (leftSlotCount < 0) {',
+    file: 'src/systems/AvailabilityBudget.ts',
+    find: 'if (remainingSlotCount < neededSlotCount) {',
+    replace: 'if (remainingSlotCount < 0) {',
     test: PLAN_TEST,
     name: 'counts the planned step and the largest failure domain',
   },
   {
     failure: 'a wave that goes on while a lost rack eats the budget',
-    file: 'src/systems/BudgetTally.ts',
+    file: 'src/systems/AvailabilityBudget.ts',
     find: "vm.condition === 'accepting' && vm.state === 'live'",
     replace: "vm.state === 'live'",
     test: PLAN_TEST,
-    name: 'waits while a lost rack eats the budget',
+    name: 'waits while a lost rack uses up the budget',
   },
   {
     failure: 'a reboot by a home whose lease is gone',
--- a/src/systems/AvailabilityBudget.ts
+++ b/src/systems/AvailabilityBudget.ts
@@ -85,11 +85,7 @@
    * @returns The spare slots, or why the budget is exceeded.
    */
   verdict(): BudgetVerdict {
-    const {
-      unavailableVmCount: unavailableVmCount,
-      maxUnavailableVmCount: maxUnavailableVmCount,
-      neededSlotCount,
-    } = this;
+    const { unavailableVmCount, maxUnavailableVmCount, neededSlotCount } = this;
     if (unavailableVmCount > maxUnavailableVmCount) {
       return {
         type: 'exceeded',
--- a/src/systems/orderQueue.ts
+++ b/src/systems/orderQueue.ts
@@ -115,5 +115,5 @@
       others.filter((request) => request.urgency === urgency),
     ),
   );
-  return { aged: aged, requests: [...aged, ...ordered] };
+  return { aged, requests: [...aged, ...ordered] };
 }
--- a/src/systems/placeQueuedJobs.ts
+++ b/src/systems/placeQueuedJobs.ts
@@ -74,7 +74,7 @@
  * team's quota, since a team that fills its quota with overnight runs would block its own saves.
  */
 function mayStart(round: PlacementRound, request: QueuedRow): boolean {
-  const { load, aged: aged } = round;
+  const { load, aged } = round;
   const { team, urgency } = request;
   const quota = getTeamQuota(round.tables.settings, team);
   if (quota === undefined) return false;
--- a/src/systems/planWaveSteps.ts
+++ b/src/systems/planWaveSteps.ts
@@ -145,7 +145,7 @@
   const allSteps = tables.waveSteps.list();
   return waves.flatMap((wave) => {
     const steps = allSteps.filter((step) => step.wave === wave.wave);
-    const plan: WavePlan = { ...options, tables, wave, steps, budget: budget };
+    const plan: WavePlan = { ...options, tables, wave, steps, budget };
     if (wave.state === 'running') return planWave(plan);
     acceptFailures(plan);
     return [];
--- a/tests/systems/fixtures.ts
+++ b/tests/systems/fixtures.ts
@@ -55,7 +55,7 @@
 /** Makes a pool whose racks have four VMs of four slots each. */
 export function makePool(rackCount: number, settings = makeSettings()): PoolTables {
   const tables = new PoolTables(POOL, settings);
-  const indices = Array.from({ length: rackCount * 4 }, (ignored, place) => place);
+  const indices = Array.from({ length: rackCount * 4 }, (ignored, index) => index);
   indices.forEach((index) => tables.vms.put(makeVm(Math.floor(index / 4), index % 4)));
   return tables;
 }
--- a/tests/systems/invariants.test.ts
+++ b/tests/systems/invariants.test.ts
@@ -57,7 +57,7 @@
 describe('decisions in any order of events', () => {
   it(`never break the availability budget (seed ${PARAMETERS.seed})`, () => {
     const events = fc.array(event, { maxLength: 80 });
-    const story = fc.property(
+    const property = fc.property(
       events,
       fc.double({ min: 0, max: 1, noNaN: true }),
       (list, weight) => {
@@ -88,7 +88,7 @@
         });
       },
     );
-    fc.assert(story, PARAMETERS);
+    fc.assert(property, PARAMETERS);
   });
 
   it(`never overfill a VM or a quota (seed ${PARAMETERS.seed})`, () => {
@@ -98,33 +98,41 @@
       coreCount: fc.constantFrom(0.5, 1, 4, 20),
       memoryMb: fc.constantFrom(100, 2_000, 9_000, 20_000),
     });
-    const story = fc.property(fc.array(request, { maxLength: 120 }), fc.nat(), (requests, seed) => {
-      const quotas = { large: { slotCount: 9, weight: 3 }, '*': { slotCount: 5 } };
-      const tables = makePool(2, makeSettings({ quotas }));
-      requests.forEach((fields, id) => tables.queue.put(makeRequest(`r-${id}`, fields)));
-      const rng = new SeededRng(seed);
-      [0, 300, 600].forEach((nowMs) =>
-        placeQueuedJobs(tables, { nowMs, rng }).forEach((decision) => {
-          if (decision.type !== 'place') return;
-          const row = tables.queue.getOrThrow(decision.attemptId);
-          expect(estimateJobSize(tables, row).memoryMb).toBe(decision.memoryMb);
-          tables.queue.remove(row.attemptId);
-          const { attemptId, queuedAtMs, excludedVms, ...rest } = row;
-          tables.grants.put({ ...makeGrant(attemptId, decision.vm), ...rest, grantedAtMs: nowMs });
-        }),
-      );
-      const sum = (values: readonly number[]): number => values.reduce((a, b) => a + b, 0);
-      const grants = tables.grants.list();
-      tables.vms.list().forEach((vm) => {
-        const own = grants.filter((grant) => grant.vm === vm.vm);
-        expect(own.length).toBeLessThanOrEqual(vm.slotCount);
-        expect(sum(own.map(({ memoryMb }) => memoryMb))).toBeLessThanOrEqual(vm.memoryMb);
-        expect(sum(own.map(({ coreCount }) => coreCount))).toBeLessThanOrEqual(vm.coreCount);
-      });
-      const heldBy = (team: string): number => grants.filter((row) => row.team === team).length;
-      expect(heldBy('large')).toBeLessThanOrEqual(9);
-      expect(Math.max(heldBy('small'), heldBy('other'))).toBeLessThanOrEqual(5);
-    });
-    fc.assert(story, PARAMETERS);
+    const property = fc.property(
+      fc.array(request, { maxLength: 120 }),
+      fc.nat(),
+      (requests, seed) => {
+        const quotas = { large: { slotCount: 9, weight: 3 }, '*': { slotCount: 5 } };
+        const tables = makePool(2, makeSettings({ quotas }));
+        requests.forEach((fields, id) => tables.queue.put(makeRequest(`r-${id}`, fields)));
+        const rng = new SeededRng(seed);
+        [0, 300, 600].forEach((nowMs) =>
+          placeQueuedJobs(tables, { nowMs, rng }).forEach((decision) => {
+            if (decision.type !== 'place') return;
+            const row = tables.queue.getOrThrow(decision.attemptId);
+            expect(estimateJobSize(tables, row).memoryMb).toBe(decision.memoryMb);
+            tables.queue.remove(row.attemptId);
+            const { attemptId, queuedAtMs, excludedVms, ...rest } = row;
+            tables.grants.put({
+              ...makeGrant(attemptId, decision.vm),
+              ...rest,
+              grantedAtMs: nowMs,
+            });
+          }),
+        );
+        const sum = (values: readonly number[]): number => values.reduce((a, b) => a + b, 0);
+        const grants = tables.grants.list();
+        tables.vms.list().forEach((vm) => {
+          const own = grants.filter((grant) => grant.vm === vm.vm);
+          expect(own.length).toBeLessThanOrEqual(vm.slotCount);
+          expect(sum(own.map(({ memoryMb }) => memoryMb))).toBeLessThanOrEqual(vm.memoryMb);
+          expect(sum(own.map(({ coreCount }) => coreCount))).toBeLessThanOrEqual(vm.coreCount);
+        });
+        const heldBy = (team: string): number => grants.filter((row) => row.team === team).length;
+        expect(heldBy('large')).toBeLessThanOrEqual(9);
+        expect(Math.max(heldBy('small'), heldBy('other'))).toBeLessThanOrEqual(5);
+      },
+    );
+    fc.assert(property, PARAMETERS);
   });
 });
