--- a/scripts/durableJobMutants.ts
+++ b/scripts/durableJobMutants.ts
@@ -53,7 +53,7 @@
   {
     failure: 'a stored job that is denied by a home that was replaced',
     file: 'src/taskHome/TaskHome.ts',
-    find: 'if (this.isClosed || !this.options.isCertain()) {',
+    find: 'if (this.isClosed || !this.options.isGroupLeaseHeld()) {',
     replace: 'if (this.isClosed) {',
     test: HOME_TEST,
     name: 'does not deny a job while it may have been replaced',
--- a/src/taskHome/JobGateway.ts
+++ b/src/taskHome/JobGateway.ts
@@ -169,13 +169,13 @@
   }
 
   private async callHome(request: DurableJobRequest, pool: string): Promise<CallOutcome> {
-    const { instance, directory, partitions, handleLocally: handleHere, peers } = this.options;
+    const { instance, directory, partitions, handleLocally, peers } = this.options;
     const home: PeerAddress | undefined = directory.get(partitions.getPartition(pool));
     if (home === undefined) return JobGateway.createRetry('home-unavailable', 'No home is known.');
     try {
       const reply =
         home.instance === instance
-          ? await handleHere(request)
+          ? await handleLocally(request)
           : await peers.call(home, request, CALL_WAIT_MS);
       const isRetryable = reply.type === 'refused' && RETRYABLE_KINDS.has(reply.kind);
       return isRetryable
