--- a/scripts/crashMutants.ts
+++ b/scripts/crashMutants.ts
@@ -10,7 +10,7 @@
   {
     failure: 'a task that takes one target after the other down',
     file: 'src/taskHome/TaskRuns.ts',
-    find: 'blames.forEach((blame) => this.takeBlame(blame));',
+    find: 'crashes.forEach((crash) => this.applyCrash(crash));',
     replace: '',
     test: CRASH_TEST,
     name: 'gives a task up under which two targets crash',
@@ -66,7 +66,7 @@
   {
     failure: 'a start on a target whose room has shrunk',
     file: 'src/taskHome/StartGuard.ts',
-    find: '|| this.isOverfull(targetId)',
+    find: '|| this.isOvercommitted(targetId)',
     replace: '',
     test: ROOM_TEST,
     name: 'get no start that was placed when they had more room',
@@ -74,9 +74,9 @@
   {
     failure: 'room that counts as free though something runs there that nobody ordered',
     file: 'src/taskHome/TaskRuns.ts',
-    find: 'if (this.orders.hasStrays(targetId)) return true;',
+    find: 'if (this.orders.hasStrayRuns(targetId)) return true;',
     replace: '',
     test: ROOM_TEST,
-    name: 'get no task while they run what was not ordered',
+    name: 'get no task while they have a stray run',
   },
 ];
--- a/scripts/durableJobMutants.ts
+++ b/scripts/durableJobMutants.ts
@@ -20,7 +20,7 @@
   },
   {
     failure: 'tasks of a cancelled job that run on',
-    file: 'src/taskHome/RunStops.ts',
+    file: 'src/taskHome/RunStopper.ts',
     find: 'orders.stop(taskName);\n      return;',
     replace: 'return;',
     test: HOME_TEST,
@@ -29,8 +29,8 @@
   {
     failure: 'the lease of a crashed target that renewals without an answer keep alive',
     file: 'src/taskHome/TargetSession.ts',
-    find: 'this.readTargetClock === undefined || this.outage.isOut;',
-    replace: 'this.readTargetClock === undefined;',
+    find: 'this.clockReading === undefined || this.outage.isOut;',
+    replace: 'this.clockReading === undefined;',
     test: HOME_TEST,
     name: 'starts tasks elsewhere once the lease of a silent, unlisted target has lapsed',
   },
@@ -60,7 +60,7 @@
   },
   {
     failure: 'two tasks of a step that are away, as one that is being stopped counted as at work',
-    file: 'src/taskHome/RunStops.ts',
+    file: 'src/taskHome/RunStopper.ts',
     find: "if (task.phase !== 'placed' || orders.isStopping(taskName)) return false;",
     replace: "if (task.phase !== 'placed') return false;",
     test: HOME_TEST,
@@ -69,10 +69,10 @@
   {
     failure: 'a task stopped too many, on the word of an old report',
     file: 'src/taskHome/TaskProgress.ts',
-    find: 'return this.clock.monotonicMs() - progress.notedAtMs < FRESH_MS;',
+    find: 'return this.clock.monotonicMs() - progress.notedAtMs < MAX_REPORT_AGE_MS;',
     replace: 'return true;',
     test: 'tests/taskHome/TaskProgress.test.ts',
-    name: 'does not go by an old report',
+    name: 'ignores an outdated report',
   },
   {
     failure: 'a step that begins before those it comes after',
@@ -344,6 +344,6 @@
     find: "if (this.isCurrent(order)) this.settle(order, 'stop-unanswered');",
     replace: "if (this.isCurrent(order)) this.settle(order, 'unanswered');",
     test: 'tests/taskHome/TaskOrders.test.ts',
-    name: 'counts as on its way, so that no second task of the step is stopped',
+    name: 'counts as pending, so that no second task of the step is stopped',
   },
 ];
--- a/src/taskHome/CrashAttribution.ts
+++ b/src/taskHome/CrashAttribution.ts
@@ -90,13 +90,13 @@
     lostRuns.forEach((loss) => this.report(loss, reason, runs.length));
     const nowMs = this.options.clock.monotonicMs();
     [...this.losses]
-      .filter(([, { expiresAtMs: expiresAtMs }]) => expiresAtMs <= nowMs)
+      .filter(([, { expiresAtMs }]) => expiresAtMs <= nowMs)
       .forEach(([lostTargetId]) => this.losses.delete(lostTargetId));
     const sessions = this.options.getSessions();
     if (runs.length > 0 && !sessions.isDraining(targetId)) {
       const hasJustStarted = sessions.hasJustStarted(targetId);
       const expiresAtMs = nowMs + LOSS_RETENTION_MS;
-      this.losses.set(targetId, { runs: lostRuns, hasJustStarted, expiresAtMs: expiresAtMs });
+      this.losses.set(targetId, { runs: lostRuns, hasJustStarted, expiresAtMs });
     }
     return runs;
   }
--- a/src/taskHome/TargetSession.ts
+++ b/src/taskHome/TargetSession.ts
@@ -87,7 +87,7 @@
    * first answer, a lease of an earlier home may still be valid.
    */
   get latestLapseAtMs(): number {
-    const { clockReading: clockReading, leaseUntilTargetMs, createdAtMs } = this;
+    const { clockReading, leaseUntilTargetMs, createdAtMs } = this;
     if (clockReading === undefined) {
       return createdAtMs + this.options.leaseMs / SLOWEST_TARGET_CLOCK_RATE;
     }
@@ -126,7 +126,7 @@
    * @returns Its end on the target's clock, in milliseconds.
    */
   extendLease(): number {
-    const { clockReading: clockReading } = this;
+    const { clockReading } = this;
     if (clockReading === undefined) return this.leaseUntilTargetMs;
     const elapsedMs = this.options.clock.monotonicMs() - clockReading.atMs;
     const untilMs = Math.floor(clockReading.targetMs + elapsedMs + this.options.leaseMs);
--- a/tests/taskHome/RunStopper.test.ts
+++ b/tests/taskHome/RunStopper.test.ts
@@ -43,7 +43,7 @@
   }
 }
 
-describe('RunStops', () => {
+describe('RunStopper', () => {
   let clock: ManualClock;
   let table: JobTable;
   let orders: FakeOrders;
