--- a/scripts/crashMutants.ts
+++ b/scripts/crashMutants.ts
@@ -2,7 +2,7 @@
 
 const BLAME_TEST = 'tests/systems/blameCrash.test.ts';
 const CRASH_TEST = 'tests/taskHome/crashes.test.ts';
-const LIFETIME_TEST = 'tests/fleetHome/EndedLifetimes.test.ts';
+const LIFETIME_TEST = 'tests/fleetHome/LifetimeEndDetector.test.ts';
 const ROOM_TEST = 'tests/taskHome/shrinkingRoom.test.ts';
 
 /** Guards against tasks that crash their targets, and against targets whose room shrinks. */
@@ -18,7 +18,7 @@
   {
     failure: 'a count of crashes that begins anew with each home',
     file: 'src/jobs/jobProgress.ts',
-    find: 'crashCount: crashes.get(place) ?? 0,',
+    find: 'crashCount: crashes.get(position) ?? 0,',
     replace: 'crashCount: 0,',
     test: CRASH_TEST,
     name: 'remembers the crashes of a task in the next home',
@@ -49,11 +49,11 @@
   },
   {
     failure: 'innocent tasks that are given up for moves and maintenance',
-    file: 'src/fleetHome/EndedLifetimes.ts',
-    find: '!looksOrdered(change) && !this.options.isAway(change.now.vm)',
+    file: 'src/fleetHome/LifetimeEndDetector.ts',
+    find: '!isMovedOrMaintained(change) && !this.options.hasActiveOrder(change.now.vm)',
     replace: 'true',
     test: LIFETIME_TEST,
-    name: 'takes a VM for ended, not for crashed, that was ordered away',
+    name: 'reports a VM as ended and not as crashed after a move or maintenance',
   },
   {
     failure: 'neighbours that lose their work with the second crash of a task',
--- a/src/fleetHome/FleetHome.ts
+++ b/src/fleetHome/FleetHome.ts
@@ -114,8 +114,8 @@
     this.storedKeptCounts = this.peaks.getReserveCounts();
     const onStaleTerm = (): void => this.options.onReplaced();
     this.orders = new VmOrders({ ...options, onStaleTerm });
-    const isAway = (vm: string): boolean => this.orders.hasActiveOrder(vm);
-    this.lifetimeEndDetector = new LifetimeEndDetector({ ...options, hasActiveOrder: isAway });
+    const hasActiveOrder = (vm: string): boolean => this.orders.hasActiveOrder(vm);
+    this.lifetimeEndDetector = new LifetimeEndDetector({ ...options, hasActiveOrder });
     this.waves = new WaveCoordinator({ ...options, orders: this.orders, records: waveRecords });
   }
 
@@ -264,7 +264,7 @@
     empty.forEach(({ vm }) => this.leaving.delete(vm));
     // A VM that is not empty in time stays in its pool and may be selected again.
     [...this.leaving]
-      .filter(([, { expiresAtMs: untilMs }]) => untilMs < nowMs)
+      .filter(([, { expiresAtMs }]) => expiresAtMs < nowMs)
       .forEach(([vm]) => this.leaving.delete(vm));
     await Promise.all(ordered);
   }
--- a/src/fleetHome/LifetimeEndDetector.ts
+++ b/src/fleetHome/LifetimeEndDetector.ts
@@ -109,7 +109,7 @@
         : MIN_CRASHES_WITHOUT_UP_VM;
       const isCrash = crashes.includes(change);
       const isRackLoss = isCrash && rackCrashCount >= minCrashCount;
-      this.ended.set(targetId!, { endedAtMs, isCrash, isRackLoss: isRackLoss });
+      this.ended.set(targetId!, { endedAtMs, isCrash, isRackLoss });
     });
   }
 
--- a/src/fleetHome/RecentOrders.ts
+++ b/src/fleetHome/RecentOrders.ts
@@ -49,7 +49,7 @@
     this.options = options;
     const nowMs = options.clock.monotonicMs();
     const recent = options.orderRecords.filter(({ isSettled }) => isSettled !== true);
-    this.recent = new Map(recent.map(({ vm, wave }) => [vm, { wave, givenAtMs: nowMs }]));
+    this.recent = new Map(recent.map(({ vm, wave }) => [vm, { wave, issuedAtMs: nowMs }]));
     this.leasedUntilMs = new Map(recent.map(({ vm }) => [vm, nowMs + this.leaseMs]));
   }
 
@@ -87,9 +87,7 @@
    */
   async settle(): Promise<void> {
     const expiredBeforeMs = this.options.clock.monotonicMs() - this.leaseMs;
-    const expired = [...this.recent].filter(
-      ([, { issuedAtMs: givenAtMs }]) => givenAtMs < expiredBeforeMs,
-    );
+    const expired = [...this.recent].filter(([, { issuedAtMs }]) => issuedAtMs < expiredBeforeMs);
     if (expired.length === 0 || this.isSettling) return;
     this.isSettling = true;
     try {
--- a/src/jobs/index.ts
+++ b/src/jobs/index.ts
@@ -5,7 +5,7 @@
   isLongRunning,
   listPlacedTasks,
   nameTask,
-  type PositionedTask as PositionedTask,
+  type PositionedTask,
 } from './DurableJobRow.js';
 export type {
   DurableJobSpec,
@@ -15,11 +15,7 @@
   Schedule,
   StepSpec,
 } from './DurableJobSpec.js';
-export {
-  type EndedJob,
-  type TrackedJob as TrackedJob,
-  summarizeEndedJob as summarizeEndedJob,
-} from './EndedJob.js';
+export { type EndedJob, summarizeEndedJob, type TrackedJob } from './EndedJob.js';
 export {
   decodeJobRecord,
   durableJobSpecSchema,
@@ -43,10 +39,10 @@
   cancelJob,
   endRun,
   findTask,
-  listOtherGangTasks as listOtherGangTasks,
-  recordCrash as recordCrash,
+  listOtherGangTasks,
+  recordCrash,
   placeTask,
   type RunEnd,
-  type CrashOutcome as CrashOutcome,
+  type CrashOutcome,
   unplaceTask,
 } from './progressJob.js';
--- a/src/queues/ConfigurationFollower.ts
+++ b/src/queues/ConfigurationFollower.ts
@@ -101,9 +101,9 @@
   }
 
   private handleRecord(record: KeyedRecord): void {
-    const { key, decode, events, onOtherRecord: onOther } = this.options;
+    const { key, decode, events, onOtherRecord } = this.options;
     if (record.key !== key) {
-      onOther?.(record);
+      onOtherRecord?.(record);
       return;
     }
     if (record.value === undefined) return;
--- a/tests/fleetHome/LifetimeEndDetector.test.ts
+++ b/tests/fleetHome/LifetimeEndDetector.test.ts
@@ -10,25 +10,25 @@
   return { vm, pool: 'pages', state: 'up', targetId: `t-${vm}`, rack: 'r1', ...changes };
 }
 
-describe('EndedLifetimes', () => {
-  let away: Set<string>;
-  let lifetimes: LifetimeEndDetector;
+describe('LifetimeEndDetector', () => {
+  let orderedVms: Set<string>;
+  let detector: LifetimeEndDetector;
 
   beforeEach(() => {
-    away = new Set();
-    const isAway = (vm: string): boolean => away.has(vm);
-    lifetimes = new LifetimeEndDetector({
+    orderedVms = new Set();
+    const hasActiveOrder = (vm: string): boolean => orderedVms.has(vm);
+    detector = new LifetimeEndDetector({
       clock: new SystemClock(),
       events: new MemoryEventLog(),
-      hasActiveOrder: isAway,
+      hasActiveOrder,
     });
-    lifetimes.compare(NAMES.map((vm) => makeVm(vm)));
+    detector.compare(NAMES.map((vm) => makeVm(vm)));
   });
 
   it('reports a VM as crashed that goes down or comes back in another lifetime', () => {
     const down = makeVm('v1', { state: 'down', targetId: undefined });
-    lifetimes.compare([down, makeVm('v2', { targetId: 't-new' })]);
-    expect(lifetimes.list()).toEqual({
+    detector.compare([down, makeVm('v2', { targetId: 't-new' })]);
+    expect(detector.list()).toEqual({
       endedTargets: ['t-v1', 't-v2'],
       crashedTargets: ['t-v1', 't-v2'],
       lostWithRack: [],
@@ -37,14 +37,14 @@
 
   // Guards against giving up tasks whose targets ended because of moves and maintenance.
   it('reports a VM as ended and not as crashed after a move or maintenance', () => {
-    away.add('v4');
-    lifetimes.compare([
+    orderedVms.add('v4');
+    detector.compare([
       makeVm('v1', { state: 'moving', pool: 'archive', targetId: undefined }),
       makeVm('v2', { state: 'in-maintenance', targetId: undefined }),
       makeVm('v3', { pool: 'archive', targetId: 't-new' }),
       makeVm('v4', { targetId: 't-back' }),
     ]);
-    expect(lifetimes.list()).toEqual({
+    expect(detector.list()).toEqual({
       endedTargets: ['t-v1', 't-v2', 't-v3', 't-v4'],
       crashedTargets: [],
       lostWithRack: [],
@@ -58,8 +58,8 @@
     ['one VM of a rack with others up', ['v1'], 0],
   ])('classifies the simultaneous loss of %s', (_what, lost, withRackCount) => {
     const down: Partial<FleetVm> = { state: 'down', targetId: undefined };
-    lifetimes.compare(NAMES.map((vm) => makeVm(vm, lost.includes(vm) ? down : {})));
-    expect(lifetimes.list().crashedTargets).toHaveLength(lost.length);
-    expect(lifetimes.list().lostWithRack).toHaveLength(withRackCount);
+    detector.compare(NAMES.map((vm) => makeVm(vm, lost.includes(vm) ? down : {})));
+    expect(detector.list().crashedTargets).toHaveLength(lost.length);
+    expect(detector.list().lostWithRack).toHaveLength(withRackCount);
   });
 });
--- a/tests/fleetHome/WaveCoordinator.test.ts
+++ b/tests/fleetHome/WaveCoordinator.test.ts
@@ -39,7 +39,10 @@
   leasedVms: readonly string[],
 ): Promise<readonly string[]> {
   const orderedVms: string[] = [];
-  const orders: Pick<VmOrders, 'listAway' | 'listTooEarly' | 'listInDoubt' | 'give'> = {
+  const orders: Pick<
+    VmOrders,
+    'listActiveOrders' | 'listLeasedVms' | 'listUnconfirmedVms' | 'issue'
+  > = {
     listActiveOrders: () => [],
     listLeasedVms: () => leasedVms,
     listUnconfirmedVms: () => [],
@@ -62,7 +65,7 @@
   const names = Array.from({ length: 40 }, (_vm, number) => `m${number}`);
   const order = { wave: 1, vms: names, withinMs: 120_000, maxDownCount: 20 };
   const vms = names.map((vm): FleetVm => ({ vm, pool: 'pages', state: 'up', targetId: vm }));
-  const orders: Pick<VmOrders, 'listAway' | 'listTooEarly' | 'listInDoubt'> = {
+  const orders: Pick<VmOrders, 'listActiveOrders' | 'listLeasedVms' | 'listUnconfirmedVms'> = {
     listActiveOrders: () => [],
     listLeasedVms: () => [],
     listUnconfirmedVms: () => [],
