--- a/scripts/crashMutants.ts
+++ b/scripts/crashMutants.ts
@@ -1,6 +1,6 @@
 import type { Mutant } from './Mutant.js';
 
-const BLAME_TEST = 'tests/systems/blameCrash.test.ts';
+const BLAME_TEST = 'tests/systems/attributeCrash.test.ts';
 const CRASH_TEST = 'tests/taskHome/crashes.test.ts';
 const LIFETIME_TEST = 'tests/fleetHome/LifetimeEndDetector.test.ts';
 const ROOM_TEST = 'tests/taskHome/shrinkingRoom.test.ts';
@@ -25,7 +25,7 @@
   },
   {
     failure: 'an innocent task that is given up for another one that began beside it',
-    file: 'src/systems/blameCrash.ts',
+    file: 'src/systems/attributeCrash.ts',
     find: '&& recentJobs.size === 1',
     replace: '',
     test: BLAME_TEST,
@@ -33,15 +33,15 @@
   },
   {
     failure: 'a task without a bound that crashes its targets only after it has begun',
-    file: 'src/systems/blameCrash.ts',
-    find: '(isAlone ? MIN_CRASHES : MAX_CRASHES)',
-    replace: '(isAlone ? MIN_CRASHES : Infinity)',
+    file: 'src/systems/attributeCrash.ts',
+    find: '(isOnlyRecentJob ? MIN_CRASH_COUNT : MAX_CRASH_COUNT)',
+    replace: '(isOnlyRecentJob ? MIN_CRASH_COUNT : Infinity)',
     test: BLAME_TEST,
     name: 'blames the worst task for the fourth crash though it was never alone',
   },
   {
     failure: 'an innocent task that is given up for a sick target or for a lost rack',
-    file: 'src/systems/blameCrash.ts',
+    file: 'src/systems/attributeCrash.ts',
     find: "evidence === 'strong' && isRecent(run)",
     replace: 'isRecent(run)',
     test: BLAME_TEST,
@@ -57,7 +57,7 @@
   },
   {
     failure: 'neighbours that lose their work with the second crash of a task',
-    file: 'src/systems/TargetRoom.ts',
+    file: 'src/systems/TargetCapacity.ts',
     find: '!this.holdsSuspect &&',
     replace: '',
     test: CRASH_TEST,
--- a/scripts/durableJobMutants.ts
+++ b/scripts/durableJobMutants.ts
@@ -92,7 +92,7 @@
   },
   {
     failure: 'more tasks of a step on one target than it allows',
-    file: 'src/systems/TargetRoom.ts',
+    file: 'src/systems/TargetCapacity.ts',
     find: '(step.maxTasksPerTarget ?? Infinity)',
     replace: 'Infinity',
     test: PLACE_TEST,
@@ -100,7 +100,7 @@
   },
   {
     failure: 'a task on a target without its label',
-    file: 'src/systems/TargetRoom.ts',
+    file: 'src/systems/TargetCapacity.ts',
     find: '(step.requiredLabel === undefined || labels.includes(step.requiredLabel)) &&',
     replace: 'labels.length >= 0 &&',
     test: PLACE_TEST,
@@ -109,7 +109,7 @@
   {
     failure: 'an evacuation that leaves a step with too few tasks',
     file: 'src/systems/planEvacuations.ts',
-    find: 'if (awayCount >= maxUnavailableCount) return [];',
+    find: 'if (unavailableCount >= maxUnavailableCount) return [];',
     replace: '',
     test: FLEET_TEST,
     name: 'stops none while another task of the step is not at work',
--- a/src/systems/PoolCapacity.ts
+++ b/src/systems/PoolCapacity.ts
@@ -16,7 +16,8 @@
 
   /**
    * Creates the capacity of a pool.
-   * @param capacities - Free capacity of each target; call {@link invalidateCache} after each allocation.
+   * @param capacities - Free capacity of each target; call {@link invalidateCache} after each
+   *   allocation.
    */
   constructor(capacities: readonly TargetCapacity[]) {
     this.capacities = capacities;
--- a/src/systems/attributeCrash.ts
+++ b/src/systems/attributeCrash.ts
@@ -88,6 +88,6 @@
       isPossibleCause &&
       hasMostCrashes &&
       crashCount >= (isOnlyRecentJob ? MIN_CRASH_COUNT : MAX_CRASH_COUNT);
-    return { crashCount, isCause: isCause };
+    return { crashCount, isCause };
   });
 }
--- a/src/systems/index.ts
+++ b/src/systems/index.ts
@@ -1,10 +1,10 @@
 export {
-  attributeCrash as attributeCrash,
-  type CrashAttribution as CrashAttribution,
+  attributeCrash,
+  type CrashAttribution,
   type CrashEvidence,
   type CrashedRun,
-  isStableRun as isStableRun,
-  STABLE_AFTER_MS as STABLE_AFTER_MS,
+  isStableRun,
+  STABLE_AFTER_MS,
 } from './attributeCrash.js';
 export { isSuspect, listSuspects, type PlacedSuspect } from './listSuspects.js';
 export { alignSubmissions } from './alignSubmissions.js';
@@ -19,7 +19,7 @@
 export { countWholeVms, type CountWholeVmsInput } from './countWholeVms.js';
 export { estimateNeededCpu, type NeededCpu, type NeededCpuInput } from './estimateNeededCpu.js';
 export { getFailureDomain } from './getFailureDomain.js';
-export { type JobSize, estimateJobSize as estimateJobSize } from './estimateJobSize.js';
+export { type JobSize, estimateJobSize } from './estimateJobSize.js';
 export { placeQueuedJobs, type PlaceQueuedJobsOptions } from './placeQueuedJobs.js';
 export { planCapacity, type PlanCapacityOptions } from './planCapacity.js';
 export { planWaveSteps, type PlanWaveStepsOptions } from './planWaveSteps.js';
@@ -33,18 +33,18 @@
   type Mechanism,
   MECHANISMS,
   type Mechanisms,
-  disableMechanisms as disableMechanisms,
+  disableMechanisms,
 } from './mechanisms.js';
 export { type MeasuredRun, RunTimes } from './RunTimes.js';
-export { listAllocations as listAllocations } from './listAllocations.js';
+export { listAllocations } from './listAllocations.js';
 export { listReadyTasks, type ReadyTasks } from './listReadyTasks.js';
 export { placeTasks, type PlaceTasksInput, type TaskPlacement } from './placeTasks.js';
 export {
   exceedsCapacity,
-  getAllocatedResources as getAllocatedResources,
+  getAllocatedResources,
   getStepKey,
   type PlacementTarget,
-  TargetCapacity as TargetCapacity,
+  TargetCapacity,
 } from './TargetCapacity.js';
 export { indexLoads, type PoolDemand, type TargetLoad } from './PoolDemand.js';
 export { type Evacuation, planEvacuations, type PlanEvacuationsInput } from './planEvacuations.js';
@@ -52,7 +52,7 @@
   type MaintenanceWave,
   planMaintenance,
   type PlanMaintenanceInput,
-  DEFAULT_STEP_MS as DEFAULT_STEP_MS,
+  DEFAULT_STEP_MS,
 } from './planMaintenance.js';
 export { planMoves, type PlanMovesInput, type VmMove } from './planMoves.js';
 export { type PaceChange, type PacedTask, planPace, type ServingLoad } from './planPace.js';
--- a/src/systems/placeTasks.ts
+++ b/src/systems/placeTasks.ts
@@ -81,7 +81,7 @@
   };
   return capacities
     .filter((capacity) => capacity.accepts(stepKey, step))
-    .map((capacity) => ({ capacity: capacity, rank: getRank(capacity) }))
+    .map((capacity) => ({ capacity, rank: getRank(capacity) }))
     .reduce<{ readonly capacity: TargetCapacity; readonly rank: readonly number[] } | undefined>(
       (best, next) => (best === undefined || isBetter(next.rank, best.rank) ? next : best),
       undefined,
@@ -100,7 +100,7 @@
 
 /** Places tasks one by one until one does not fit; the others of the step would not fit either. */
 function placeOneByOne(
-  { row, ready, step, stepKey, getFailedTargets: getFailedTargets, isFullestFirst }: StepPlacement,
+  { row, ready, step, stepKey, getFailedTargets, isFullestFirst }: StepPlacement,
   capacities: readonly TargetCapacity[],
 ): readonly TaskPlacement[] {
   const { jobId } = row.spec;
@@ -165,9 +165,9 @@
 export function placeTasks(input: PlaceTasksInput): readonly TaskPlacement[] {
   const {
     jobs,
-    allocatedJobs: allocatedJobs,
+    allocatedJobs,
     targets,
-    getFailedTargets: getFailedTargets,
+    getFailedTargets,
     nowMs,
     mechanisms = ALL_MECHANISMS,
   } = input;
@@ -192,7 +192,7 @@
         ready,
         step,
         stepKey,
-        getFailedTargets: getFailedTargets,
+        getFailedTargets,
         isFullestFirst,
       };
       const placeStep = step.isGang ? placeGang : placeOneByOne;
--- a/src/systems/planEvacuations.ts
+++ b/src/systems/planEvacuations.ts
@@ -28,7 +28,7 @@
  * @returns The tasks to stop.
  */
 export function planEvacuations(input: PlanEvacuationsInput): readonly Evacuation[] {
-  const { jobs, drainedTargets, isRunning: isRunning } = input;
+  const { jobs, drainedTargets, isRunning } = input;
   return jobs
     .filter((row) => isLongRunning(row) && !isFinished(row))
     .flatMap((row) => {
--- a/src/systems/planMaintenance.ts
+++ b/src/systems/planMaintenance.ts
@@ -24,7 +24,7 @@
   readonly inProgress: ReadonlySet<string>;
   /** Monotonic time in milliseconds. */
   readonly nowMs: number;
-  /** Observed time that a VM is out of service, in milliseconds; {@link DEFAULT_STEP_MS} if absent. */
+  /** Observed time that a VM is out of service, in ms; {@link DEFAULT_STEP_MS} if absent. */
   readonly stepMs?: number;
 }
 
--- a/src/systems/planMoves.ts
+++ b/src/systems/planMoves.ts
@@ -88,13 +88,7 @@
   input: PlanMovesInput,
   loads: ReadonlyMap<string, TargetLoad>,
 ): PoolBalance {
-  const {
-    vms,
-    heldVms,
-    usableHeldVms: usableHeldVms = NO_VMS,
-    arrivingByPool,
-    reserveCounts: reserveCounts,
-  } = input;
+  const { vms, heldVms, usableHeldVms = NO_VMS, arrivingByPool, reserveCounts } = input;
   const { pool, targets, neededCpuMillicores, lateCpuMillicores, waitingCpuMillicores } = demand;
   const upInPool = vms.filter((vm) => vm.pool === pool && vm.state === 'up');
   const movableVms = upInPool.filter(({ vm }) => !heldVms.has(vm));
@@ -108,12 +102,12 @@
   const currentNeedCount = Math.ceil((usedCpuMillicores + waitingCpuMillicores) / vmMillicores);
   return {
     demand,
-    movableVms: movableVms,
+    movableVms,
     availableCount: movableVms.length + arrivingCount,
     currentNeedCount: Math.min(needCount, currentNeedCount),
     needCount,
     onTimeNeedCount: Math.ceil((neededCpuMillicores - lateCpuMillicores) / vmMillicores),
-    reserveCount: reserveCount,
+    reserveCount,
     retainedCount: Math.max(needCount, reserveCount),
     spareWholeCount: wholeCount - demand.wholeVmCount,
   };
@@ -138,7 +132,7 @@
  * VM that still runs tasks is drained before its move. VMs with long-running tasks stay.
  */
 function listSpareVms(
-  { movableVms: movableVms, availableCount: availableCount, spareWholeCount }: PoolBalance,
+  { movableVms, availableCount, spareWholeCount }: PoolBalance,
   retainedCount: number,
   loads: ReadonlyMap<string, TargetLoad>,
 ): readonly FleetVm[] {
@@ -234,21 +228,13 @@
     assigned.filter(({ toPool }) => toPool === pool).length;
   const shortages = listShortages(
     balances,
-    ({
-      demand,
-      onTimeNeedCount: onTimeNeedCount,
-      currentNeedCount: currentNeedCount,
-      availableCount: availableCount,
-    }) =>
+    ({ demand, onTimeNeedCount, currentNeedCount, availableCount }) =>
       limitMoves(
         Math.min(onTimeNeedCount, currentNeedCount) - availableCount - countAssigned(demand.pool),
       ),
   );
   const assignedNames = new Set(assigned.map(({ vm }) => vm));
-  const getRetainedCount = ({
-    onTimeNeedCount: onTimeNeedCount,
-    reserveCount: reserveCount,
-  }: PoolBalance): number =>
+  const getRetainedCount = ({ onTimeNeedCount, reserveCount }: PoolBalance): number =>
     Math.max(onTimeNeedCount, releasesReserves ? MIN_RESERVE_IN_SHORTAGE : reserveCount);
   const reclaimable = listAllSpareVms(balances, getRetainedCount, loads);
   return assignVms(
@@ -270,14 +256,7 @@
  * @returns The moves.
  */
 export function planMoves(input: PlanMovesInput): readonly VmMove[] {
-  const {
-    demands,
-    vms,
-    standbyPools,
-    heldVms,
-    reserveCounts: reserveCounts,
-    releasesReserves: releasesReserves = false,
-  } = input;
+  const { demands, vms, standbyPools, heldVms, reserveCounts, releasesReserves = false } = input;
   const standby = vms.filter(
     ({ vm, pool, state }) => standbyPools.has(pool) && state === 'up' && !heldVms.has(vm),
   );
@@ -285,11 +264,7 @@
   const balances = demands
     .filter(({ pool }) => !standbyPools.has(pool))
     .map((demand) => balancePool(demand, input, loads));
-  const spare = listAllSpareVms(
-    balances,
-    ({ retainedCount: retainedCount }) => retainedCount,
-    loads,
-  );
+  const spare = listAllSpareVms(balances, ({ retainedCount }) => retainedCount, loads);
   const shortages = listShortagesByPriority(balances);
   const reserves =
     releasesReserves && shortages.length > 0
@@ -308,7 +283,7 @@
   ];
   if (moves.length > 0) return moves;
   return assignVms(
-    listShortages(balances, ({ demand, availableCount: availableCount }) =>
+    listShortages(balances, ({ demand, availableCount }) =>
       limitMoves((reserveCounts?.get(demand.pool) ?? 0) - availableCount),
     ),
     [...spare, ...standby],
--- a/tests/systems/PoolCapacity.test.ts
+++ b/tests/systems/PoolCapacity.test.ts
@@ -16,7 +16,7 @@
   return makeStep({ demand });
 }
 
-describe('PoolRooms', () => {
+describe('PoolCapacity', () => {
   afterEach(() => vi.restoreAllMocks());
 
   it('counts the processor that is free in open rooms alone', () => {
--- a/tests/systems/attributeCrash.test.ts
+++ b/tests/systems/attributeCrash.test.ts
@@ -19,7 +19,7 @@
   return attribute(runs, 'strong');
 }
 
-describe('blameCrash', () => {
+describe('attributeCrash', () => {
   it('suspects the runs that had just begun, and gives none of them up at their first crash', () => {
     const blames = attributeStrongCrash([makeRun(), makeRun({ survivedMs: 20 })]);
     expect(blames).toEqual([
@@ -40,7 +40,7 @@
   // Guards against giving up an innocent task because of another one that started at the same time.
   it('blames no task for a second crash where another one had just begun too', () => {
     const blames = attributeStrongCrash([makeRun({ crashCount: 1 }), makeRun()]);
-    expect(blames.map(({ isCause: isCause }) => isCause)).toEqual([false, false]);
+    expect(blames.map(({ isCause }) => isCause)).toEqual([false, false]);
   });
 
   it('blames a job of which several tasks had begun alone', () => {
@@ -48,7 +48,7 @@
       makeRun({ jobId: 'a', crashCount: 1 }),
       makeRun({ jobId: 'a' }),
     ]);
-    expect(blames.map(({ isCause: isCause }) => isCause)).toEqual([true, false]);
+    expect(blames.map(({ isCause }) => isCause)).toEqual([true, false]);
   });
 
   it('does not suspect a run whose start was not sent', () => {
@@ -85,7 +85,7 @@
   it('blames the worst task for the fourth crash though it was never alone', () => {
     const late = makeRun({ crashCount: 3, survivedMs: 900 });
     const blames = attributeStrongCrash([late, makeRun({ crashCount: 1 }), makeRun()]);
-    expect(blames.map(({ isCause: isCause }) => isCause)).toEqual([true, false, false]);
+    expect(blames.map(({ isCause }) => isCause)).toEqual([true, false, false]);
   });
 
   // Guards against a sixth start: regardless of the other runs on its targets, a task that crashes
--- a/tests/systems/placeTasks.test.ts
+++ b/tests/systems/placeTasks.test.ts
@@ -32,7 +32,7 @@
     jobs,
     allocatedJobs: jobs,
     targets,
-    getFailedTargets: getFailedTargets,
+    getFailedTargets,
     nowMs: NOW_MS,
   });
 }
--- a/tests/systems/planFleet.test.ts
+++ b/tests/systems/planFleet.test.ts
@@ -118,7 +118,7 @@
     const held = new Set(['p2', 'p3']);
     const vms = [...input.vms, makeVm('p2', 'pages'), makeVm('p3', 'pages')];
     const plan = (usableHeldVms: ReadonlySet<string>) =>
-      planMoves({ ...input, vms, heldVms: held, usableHeldVms: usableHeldVms });
+      planMoves({ ...input, vms, heldVms: held, usableHeldVms });
     expect(plan(held)).toEqual([]);
     expect(plan(new Set())).toHaveLength(2);
   });
@@ -142,9 +142,7 @@
   it('takes what idle pools keep where a pool is short, after everything else', () => {
     const reserveCounts = new Map([['archive', 4]]);
     const plan = (releasesReserves: boolean): readonly string[] =>
-      planMoves({ ...input, reserveCounts: reserveCounts, releasesReserves: releasesReserves }).map(
-        ({ vm }) => vm,
-      );
+      planMoves({ ...input, reserveCounts, releasesReserves }).map(({ vm }) => vm);
     expect(plan(false)).toEqual(['s1']);
     expect(plan(true)).toEqual(['s1', 'a1']);
   });
@@ -158,7 +156,7 @@
       ['archive', 2],
       ['pages', 3],
     ]);
-    const moves = planMoves({ ...input, demands: calm, reserveCounts: reserveCounts });
+    const moves = planMoves({ ...input, demands: calm, reserveCounts });
     expect(moves.map(({ vm, toPool }) => `${vm} ${toPool}`)).toEqual(['a1 pages', 'a2 pages']);
   });
 
@@ -241,9 +239,7 @@
 
   it('stops as many tasks of a step as may be unavailable', () => {
     const isRunning = () => true;
-    expect(planEvacuations({ jobs: [placed], drainedTargets, isRunning: isRunning })).toHaveLength(
-      1,
-    );
+    expect(planEvacuations({ jobs: [placed], drainedTargets, isRunning })).toHaveLength(1);
   });
 
   // Guards against counting only the stops by the system itself: users lost two of three nodes of a
@@ -251,7 +247,7 @@
   // another to drain its VM.
   it('stops none while another task of the step is not at work', () => {
     const isRunning = (_row: unknown, position: number) => position !== 2;
-    expect(planEvacuations({ jobs: [placed], drainedTargets, isRunning: isRunning })).toEqual([]);
+    expect(planEvacuations({ jobs: [placed], drainedTargets, isRunning })).toEqual([]);
   });
 
   // Guards against a drained target that uses up the CPU of a small home because each planning
@@ -259,7 +255,7 @@
   it('does not check whether tasks that end by themselves are running', () => {
     const short = createJobRow(makeJob('b', [makeStep({ taskCount: 3 })]));
     const isRunning = vi.fn(() => true);
-    expect(planEvacuations({ jobs: [short], drainedTargets, isRunning: isRunning })).toEqual([]);
+    expect(planEvacuations({ jobs: [short], drainedTargets, isRunning })).toEqual([]);
     expect(isRunning).not.toHaveBeenCalled();
   });
 
@@ -267,6 +263,6 @@
     const steps = [{ ...step, maxUnavailableCount: 0 }];
     const strict = { ...placed, spec: { ...placed.spec, steps } };
     const isRunning = () => true;
-    expect(planEvacuations({ jobs: [strict], drainedTargets, isRunning: isRunning })).toEqual([]);
+    expect(planEvacuations({ jobs: [strict], drainedTargets, isRunning })).toEqual([]);
   });
 });
