--- a/src/systems/PoolDemand.ts
+++ b/src/systems/PoolDemand.ts
@@ -19,7 +19,7 @@
    * including the allocations of long-running tasks.
    */
   readonly neededCpuMillicores: number;
-  /** Part of the need for work that is too late for its objective, which yields to other work. */
+  /** Part of the need for work too late for its objective, which yields to work on time. */
   readonly lateCpuMillicores: number;
   /** VMs without long-running tasks, for tasks that don't fit next to those of any target. */
   readonly wholeVmCount: number;
--- a/tests/systems/ArrivalRate.test.ts
+++ b/tests/systems/ArrivalRate.test.ts
@@ -16,7 +16,7 @@
 }
 
 describe('ArrivalRate', () => {
-  it('follows a rush of many jobs within 0.7 s', () => {
+  it('follows a load peak of many jobs within 0.7 s', () => {
     expect(measure(70, 12)).toBeGreaterThan(120_000);
     expect(measure(70, 12)).toBeLessThan(180_000);
   });
--- a/tests/systems/PoolCapacity.test.ts
+++ b/tests/systems/PoolCapacity.test.ts
@@ -19,7 +19,7 @@
 describe('PoolCapacity', () => {
   afterEach(() => vi.restoreAllMocks());
 
-  it('counts the processor that is free in open rooms alone', () => {
+  it('considers only the free CPU of targets that accept tasks', () => {
     const closed = new TargetCapacity(makeTarget('t1', { takesTasks: false }));
     const suspected = new TargetCapacity(makeTarget('t2', { holdsSuspect: true }));
     const open = new TargetCapacity(makeTarget('t3'));
@@ -30,19 +30,19 @@
   });
 
   it('recomputes the free CPU after an allocation', () => {
-    const room = new TargetCapacity(makeTarget('t1'));
-    const pool = new PoolCapacity([room]);
+    const capacity = new TargetCapacity(makeTarget('t1'));
+    const pool = new PoolCapacity([capacity]);
     expect(pool.mayFit(makeStepOf(4))).toBe(true);
-    room.allocate('a.0.0', makeStepOf(3));
+    capacity.allocate('a.0.0', makeStepOf(3));
     pool.invalidateCache();
     expect(pool.mayFit(makeStepOf(4))).toBe(false);
   });
 
-  it('takes tasks without processor of their own into a full pool', () => {
-    const room = new TargetCapacity(makeTarget('t1'));
-    room.allocate('a.0.0', makeStepOf(TARGET_CORES));
+  it('accepts best-effort tasks in a full pool', () => {
+    const capacity = new TargetCapacity(makeTarget('t1'));
+    capacity.allocate('a.0.0', makeStepOf(TARGET_CORES));
     const bestEffort = makeStep({ isBestEffort: true });
-    expect(new PoolCapacity([room]).mayFit(bestEffort)).toBe(true);
+    expect(new PoolCapacity([capacity]).mayFit(bestEffort)).toBe(true);
   });
 
   // Guards against placement rounds that become slower with each waiting job because they scan all
--- a/tests/systems/planFleet.test.ts
+++ b/tests/systems/planFleet.test.ts
@@ -163,7 +163,7 @@
   // Guards against forecasts that take all free VMs: a pool at the start of its load peak waited
   // with three VMs for two seconds, while another pool got all free ones for a forecast need of
   // several times the fleet, which was based on four large jobs.
-  it('gives VMs to tasks that wait before it gives any to what is foreseen', () => {
+  it('gives VMs to waiting tasks before any to forecast load', () => {
     const free = ['f1', 'f2', 'f3'].map((vm) => makeVm(vm, 'spare', { targetId: undefined }));
     const foreseen = { ...makeDemand('media', 0, []), neededCpuMillicores: 37_344_000 };
     const waiting = makeDemand('pages', 60, [makeLoad('p1', 20)]);
@@ -177,7 +177,7 @@
 
   // Guards against a low limit per planning round: a load peak needed 45 VMs, which were available,
   // and got eight per round, the last 2 s later.
-  it('orders all that a rush needs at once', () => {
+  it('orders all VMs that a load peak needs at once', () => {
     const many = Array.from({ length: 30 }, (_unused, number) => makeVm(`i${number}`, 'archive'));
     const loads = many.map(({ vm }) => makeLoad(vm));
     const rush = [makeDemand('archive', 0, loads), makeDemand('pages', 640, [makeLoad('p1', 20)])];
