--- a/src/home/CapacityRunner.ts
+++ b/src/home/CapacityRunner.ts
@@ -15,14 +15,14 @@
   readonly targets: Pick<TargetPort, 'getStatus'>;
   readonly clock: Clock;
   readonly events: EventLog;
-  /** Gets the VM as the platform lists it. */
+  /** Gets a VM from the platform's list. */
   readonly getVm: (vm: string) => VmRow | undefined;
 }
 
-/** Longest wait until a record about a move is read back. */
+/** Maximum time to wait until a record about a move is read back from the log. */
 const WRITE_WAIT_MS = 5_000;
 
-/** Carries out moves of VMs: a release by one pool, then an adoption by another. */
+/** Moves VMs between pools: one pool releases a VM, then another adopts it. */
 export class CapacityRunner {
   private readonly options: CapacityRunnerOptions;
 
@@ -32,7 +32,7 @@
 
   /**
    * Creates a runner without moves.
-   * @param options - Pool, term, and what the runner works on.
+   * @param options - Pool, term and dependencies.
    */
   constructor(options: CapacityRunnerOptions) {
     this.options = options;
@@ -43,13 +43,13 @@
     return this.withheld;
   }
 
-  /** Whether a move is under way. */
+  /** Whether a release is in progress. */
   get isBusy(): boolean {
     return this.withheld.size > 0;
   }
 
   /**
-   * Acts on what the capacity system decided.
+   * Executes the decisions of the capacity system.
    * @param decisions - The decisions of one tick.
    */
   apply(decisions: readonly CapacityDecision[]): void {
@@ -74,9 +74,11 @@
   }
 
   /**
-   * Failure: a VM that changes pools would cut off, or be shared with, work of the former pool. It
-   * is kept from new work first and released only while it runs nothing; a VM that got work in the
-   * meantime stays.
+   * Releases an idle VM from the pool.
+   *
+   * A busy VM that changes pools would abort work of its former pool or be shared with it. The VM
+   * therefore gets no new work first, and is released only if it has no grants and runs no tasks;
+   * otherwise it stays in the pool.
    */
   private async release(vm: string, reason: string): Promise<void> {
     const { tables, events, targets, getVm } = this.options;
--- a/src/home/ClaimDesk.ts
+++ b/src/home/ClaimDesk.ts
@@ -10,7 +10,7 @@
 export interface ClaimDeskOptions {
   readonly pool: string;
   readonly instance: string;
-  /** Term in which this instance decides for the pool. */
+  /** Term in which this instance is the home of the pool. */
   readonly term: number;
   readonly fleet: FleetTables;
   readonly writer: Pick<LogWriter, 'write'>;
@@ -18,34 +18,34 @@
   readonly events: EventLog;
 }
 
-/** Longest wait until a claim is read back; the caller is told `not run` after that. */
+/** Maximum time to wait until a claim is read back; after that the caller is told `not run`. */
 const CLAIM_WAIT_MS = 3_000;
-/** How long a claim is kept after the caller's deadline, for repeats that come late. */
+/** How long a claim is kept after the caller's deadline, to recognize late retries. */
 const CLAIM_KEPT_AFTER_DEADLINE_MS = 3_600_000;
 
-/** Records at the log which non-idempotent requests may have been sent, so that none is twice. */
+/** Records claims of non-idempotent requests in the log, so that none reaches a target twice. */
 export class ClaimDesk {
   private readonly options: ClaimDeskOptions;
 
-  /** Requests that were refused after their claim was sent off, and never given to a target. */
+  /** Requests that were refused after their claim was written, and never sent to a target. */
   private readonly unsent = new Set<string>();
 
   private readonly settling = new KeyedOnce();
 
   /**
-   * Creates the desk of a pool's home.
-   * @param options - Pool, term, and what the desk works on.
+   * Creates the claim registry of a pool's home.
+   * @param options - Pool, term and dependencies.
    */
   constructor(options: ClaimDeskOptions) {
     this.options = options;
   }
 
   /**
-   * Tells whether an earlier attempt of a request stands in the way of a new one.
-   * @param entry - Instance that asks.
-   * @param request - What it asks.
-   * @param isUnderWay - Whether the request waits for or holds a grant here.
-   * @returns The refusal, or undefined where the request may go on.
+   * Checks whether an earlier attempt with the same request id rules out a new one.
+   * @param entry - Entry instance that sent the request.
+   * @param request - The request.
+   * @param isUnderWay - Whether the request waits for or holds a grant at this home.
+   * @returns The refusal, or undefined if the request may continue.
    */
   findObstacle(entry: string, request: GrantRequest, isUnderWay: boolean): Refusal | undefined {
     const claim = this.options.fleet.claims.get(request.requestId);
@@ -59,9 +59,9 @@
 
   /**
    * Writes the claim of a request and waits until it is read back.
-   * @param entry - Instance that will send the request on.
+   * @param entry - Entry instance that will send the request to the target.
    * @param request - The request.
-   * @returns A refusal, in which case nothing may be sent, or undefined once the claim stands.
+   * @returns A refusal, in which case nothing may be sent, or undefined once the claim is accepted.
    */
   async claim(entry: string, request: GrantRequest): Promise<Refusal | undefined> {
     const { fleet, clock, writer } = this.options;
@@ -77,17 +77,17 @@
         if (!result.refusedRequestIds?.includes(request.requestId)) return undefined;
         return this.refuseClaim(request, 'already-running', 'Another attempt was claimed first.');
       case 'rejected':
-        return this.refuseClaim(request, 'home-unavailable', 'The pool has got another home.');
+        return this.refuseClaim(request, 'home-unavailable', 'The pool has another home now.');
       default:
-        // The claim may stand on the log although nothing is sent: remembered, so that a repeat
-        // is neither blocked nor told that its outcome is unknown.
+        // The claim may be in the log although nothing is sent. It is marked as unsent, so that a
+        // retry is neither blocked nor told that its outcome is unknown.
         this.unsent.add(request.requestId);
         return this.refuseClaim(request, 'log-unavailable', 'The claim could not be recorded.');
     }
   }
 
   /**
-   * Notes that a claimed request was withdrawn before its grant was handed out.
+   * Marks a claimed request as unsent because it was cancelled before its grant was delivered.
    * @param requestId - The request.
    */
   noteUnsent(requestId: string): void {
@@ -95,10 +95,10 @@
   }
 
   /**
-   * Records how a claimed request ended.
+   * Records the outcome of a claimed request.
    * @param requestId - The request.
-   * @param outcome - What became of it.
-   * @returns Whether the log has taken it.
+   * @param outcome - The outcome.
+   * @returns Whether the record was accepted in the log.
    */
   async settle(requestId: string, outcome: Outcome): Promise<boolean> {
     const { pool, instance, term, writer, clock } = this.options;
@@ -115,7 +115,7 @@
     return result.type === 'accepted';
   }
 
-  /** Settles claims that turned out to stand on the log although nothing was sent. */
+  /** Settles claims as not run that are in the log although their requests were never sent. */
   tick(): void {
     Array.from(this.unsent)
       .filter((requestId) => this.options.fleet.claims.get(requestId)?.outcome === undefined)
@@ -134,16 +134,18 @@
       case 'run':
         return refuse('already-run', 'The request has run already.');
       case 'unknown':
-        return refuse('outcome-unknown', 'Whether the request has run cannot be told.');
+        return refuse('outcome-unknown', 'It is unknown whether the request has run.');
       default:
         return this.findObstacleOfOpenClaim(entry, claim);
     }
   }
 
   /**
-   * Failure: the entry instance was killed between claim and answer, and the caller repeats the
-   * request elsewhere. Whether the target got it cannot be known, so it is never sent again. The
-   * same entry instance may go on, since it knows that it has not sent the request.
+   * Checks a claim that has no outcome yet.
+   *
+   * If the entry instance was killed between claim and answer, it is unknown whether the target got
+   * the request, so a retry through another instance never sends it again. The same entry instance
+   * may continue, since it knows that it has not sent the request.
    */
   private findObstacleOfOpenClaim(entry: string, claim: ClaimRow): Refusal | undefined {
     if (claim.entry === entry) return undefined;
@@ -154,9 +156,10 @@
   }
 
   /**
-   * Failure: a claim that was given up is being settled as not run while the same request comes
-   * again. Going on under it would let the settlement free the id of a request that runs, and a
-   * third attempt would run it twice.
+   * Reuses the open claim of a request unless that claim is being settled as not run.
+   *
+   * Otherwise the settlement would free the id of a request that is running, and a third attempt
+   * would run the request twice.
    */
   private continueClaim(request: GrantRequest): Refusal | undefined {
     if (!this.unsent.has(request.requestId)) return undefined;
--- a/src/home/DrainRunner.ts
+++ b/src/home/DrainRunner.ts
@@ -9,7 +9,7 @@
   readonly vmPort: Pick<VmPort, 'drain' | 'undrain'>;
 }
 
-/** Tells the platform about operators' drains of a pool's VMs, and about their end. */
+/** Forwards operators' drains of a pool's VMs, and their cancellation, to the platform. */
 export class DrainRunner {
   private readonly options: DrainRunnerOptions;
 
@@ -18,14 +18,14 @@
   private readonly calls = new KeyedOnce();
 
   /**
-   * Creates a runner that has told nothing.
-   * @param options - Pool, orders, and the platform.
+   * Creates a runner that has forwarded no drains yet.
+   * @param options - Tables with the pool's VMs and the operators' drains, and the platform.
    */
   constructor(options: DrainRunnerOptions) {
     this.options = options;
   }
 
-  /** Compares the orders with what the platform was told, and tells it the difference. */
+  /** Drains and undrains VMs at the platform where the operators' drains have changed. */
   tick(): void {
     const { fleet, tables, vmPort } = this.options;
     fleet.drains
@@ -54,7 +54,7 @@
         await call();
         note();
       } catch {
-        // The platform did not answer; the next tick calls again.
+        // The call failed; the next tick repeats it.
       }
     });
   }
--- a/src/home/ExplainLog.ts
+++ b/src/home/ExplainLog.ts
@@ -5,11 +5,11 @@
   readonly clock: Clock;
 }
 
-/** How many subjects are remembered; the oldest are forgotten first. */
+/** Maximum number of subjects; the least recently updated one is removed first. */
 const MAX_SUBJECT_COUNT = 5_000;
 const MAX_LINE_COUNT = 20;
 
-/** What was decided about each request of late, for operators who ask why. */
+/** Keeps the latest decisions about each request, so that operators can see the reasons. */
 export class ExplainLog {
   private readonly options: ExplainLogOptions;
 
@@ -17,16 +17,16 @@
 
   /**
    * Creates an empty log.
-   * @param options - Clock for the times of the lines.
+   * @param options - Clock for the timestamps.
    */
   constructor(options: ExplainLogOptions) {
     this.options = options;
   }
 
   /**
-   * Notes a decision.
-   * @param subject - Request that it was about.
-   * @param text - What was decided, and why.
+   * Records a decision.
+   * @param subject - Id of the request.
+   * @param text - The decision and its reason.
    */
   note(subject: string, text: string): void {
     const at = new Date(this.options.clock.wallMs()).toISOString();
@@ -39,9 +39,9 @@
   }
 
   /**
-   * Gets what was decided about a request.
-   * @param subject - The request.
-   * @returns Lines, the latest last.
+   * Gets the decisions about a request.
+   * @param subject - Id of the request.
+   * @returns Lines, oldest first.
    */
   get(subject: string): readonly string[] {
     return this.lines.get(subject) ?? [];
--- a/src/home/PoolGrants.ts
+++ b/src/home/PoolGrants.ts
@@ -18,35 +18,35 @@
   readonly clock: Clock;
   readonly events: EventLog;
   readonly explainLog: ExplainLog;
-  /** Whether a grant is not handed to its entry instance yet. */
+  /** Returns whether a grant has not been sent to its entry instance yet. */
   readonly isWaiting: (grantId: string) => boolean;
-  /** Called with a VM whose run ended so that the VM itself may be to blame. */
+  /** Called with the VM of a run whose result suggests that the VM may have failed. */
   readonly onSuspect: (vm: string) => void;
 }
 
-/** Where a queued request was placed. */
+/** Placement of a queued request. */
 export type PlacedRequest = Extract<PlacementDecision, { readonly type: 'place' }>;
 
-/** Report of how the use of a grant ended. */
+/** Report of an entry instance that it no longer uses a grant. */
 export type FinishGrant = Extract<PeerRequest, { readonly type: 'finish-grant' }>;
 
-/** The grants of a pool from their placement to their end, and what their ends teach. */
+/** Manages the grants of a pool, and records the results of their runs. */
 export class PoolGrants {
   private readonly options: PoolGrantsOptions;
 
-  /** VMs that failed a granted request before, by grant. */
+  /** VMs on which the granted request failed before, by grant. */
   private readonly excludedVms = new Map<string, readonly string[]>();
 
   /**
-   * Works on the grants that the tables hold.
-   * @param options - Tables of the pool, and who hears of ends.
+   * Creates a manager of the grants in the pool's tables.
+   * @param options - Tables of the pool, and callbacks.
    */
   constructor(options: PoolGrantsOptions) {
     this.options = options;
   }
 
   /**
-   * Takes over grants that entry instances hold from an earlier home.
+   * Adopts grants that entry instances still hold from an earlier home.
    * @param heldGrants - The grants.
    */
   adopt(heldGrants: readonly GrantHeldElsewhere[]): void {
@@ -59,7 +59,7 @@
   /**
    * Creates the grant of a request that was placed.
    * @param row - The request.
-   * @param placed - Where, and what is set aside for it.
+   * @param placed - VM and the resources that are reserved on it.
    */
   begin(row: QueuedRow, placed: PlacedRequest): void {
     const { tables, clock } = this.options;
@@ -70,14 +70,14 @@
   /**
    * Gets a grant.
    * @param grantId - Its id.
-   * @returns The grant, or undefined where it has ended or is unknown.
+   * @returns The grant, or undefined if it has ended or is unknown.
    */
   get(grantId: string): GrantRow | undefined {
     return this.options.tables.grants.get(grantId);
   }
 
   /**
-   * Prolongs grants that are still in use.
+   * Extends the deadlines of grants that are still in use.
    * @param grantIds - The grants.
    */
   renew(grantIds: readonly string[]): void {
@@ -88,7 +88,7 @@
       .forEach((grant) => tables.grants.put({ ...grant, deadlineMs }));
   }
 
-  /** Ends the grants whose entry instances have not renewed them. */
+  /** Removes grants that their entry instances have not renewed in time. */
   expire(): void {
     const { tables, clock, events, isWaiting } = this.options;
     const nowMs = clock.monotonicMs();
@@ -104,9 +104,9 @@
   }
 
   /**
-   * Learns from the end of a grant about its VM and its job, and removes it.
+   * Records the result of a run for its VM and its job, and removes the grant.
    * @param grant - The grant.
-   * @param finish - How it ended.
+   * @param finish - Report of the run.
    */
   finish(grant: GrantRow, finish: FinishGrant): void {
     this.learn(grant, finish);
--- a/src/home/PoolHome.ts
+++ b/src/home/PoolHome.ts
@@ -18,13 +18,13 @@
   readonly pool: string;
   readonly settings: PoolSettings;
   readonly rng: Rng;
-  /** Grants that entry instances hold from an earlier home. */
+  /** Grants that entry instances still hold from an earlier home of the pool. */
   readonly heldGrants: readonly GrantHeldElsewhere[];
 }
 
 const CLOSED = refuse('home-unavailable', 'The pool is being handed to another home.');
 
-/** One pool at the instance that decides for it: queue, grants, claims, VMs, waves. */
+/** State and decisions of one pool at its home: queue, grants, claims, VMs and waves. */
 export class PoolHome {
   readonly tables: PoolTables;
 
@@ -45,7 +45,7 @@
 
   /**
    * Opens the home of a pool.
-   * @param options - Pool, term, and what the home works on.
+   * @param options - Pool, term and dependencies.
    */
   constructor(options: PoolHomeOptions) {
     this.options = options;
@@ -70,15 +70,15 @@
     events.write('homeOpened', { pool, term: options.term });
   }
 
-  /** Term in which this instance decides for the pool. */
+  /** Term in which this instance is the home of the pool. */
   get term(): number {
     return this.options.term;
   }
 
   /**
-   * Takes in a request for a slot.
-   * @param entry - Instance that asks.
-   * @param request - What it asks.
+   * Handles a request for a slot.
+   * @param entry - Entry instance that sent the request.
+   * @param request - The request.
    * @returns The grant or the refusal, once decided.
    */
   requestGrant(entry: string, request: GrantRequest): Promise<PeerReply> {
@@ -100,7 +100,7 @@
   }
 
   /**
-   * Withdraws a request or a grant that its entry instance never used.
+   * Cancels a request, or a grant that its entry instance did not use.
    * @param attemptId - Id of the attempt.
    */
   cancelRequest(attemptId: string): void {
@@ -113,9 +113,9 @@
   }
 
   /**
-   * Takes in how the use of a grant ended.
-   * @param finish - The report of the entry instance.
-   * @returns Whether everything about it is recorded; if not, the report has to be repeated.
+   * Handles an entry instance's report that it no longer uses a grant.
+   * @param finish - The report.
+   * @returns Whether the report is fully recorded; if not, the entry instance must send it again.
    */
   async finishGrant(finish: FinishGrant): Promise<boolean> {
     const grant = this.grants.get(finish.grantId);
@@ -128,7 +128,7 @@
   }
 
   /**
-   * Prolongs grants that are still in use.
+   * Extends the deadlines of grants that are still in use.
    * @param grantIds - The grants.
    */
   renewGrants(grantIds: readonly string[]): void {
@@ -136,8 +136,8 @@
   }
 
   /**
-   * Runs the systems of the pool once.
-   * @param settings - Settings in force for the pool.
+   * Runs the pool's periodic work once.
+   * @param settings - Current settings of the pool.
    * @param fleetProgress - Progress of each wave over all pools.
    */
   tick(settings: PoolSettings, fleetProgress: ReadonlyMap<string, WaveProgress>): void {
@@ -148,7 +148,7 @@
     this.place();
   }
 
-  /** Stops deciding: whoever waits is told at once to ask the pool's next home. */
+  /** Closes this home; waiting requests are refused at once, so that they reach the next home. */
   close(): void {
     this.isClosed = true;
     this.waiting.answerAll(CLOSED);
@@ -161,15 +161,16 @@
     const isWaiting = isUnderWay(request.requestId, this.tables, this.options.fleet);
     const obstacle = this.claimDesk.findObstacle(entry, request, isWaiting);
     if (obstacle !== undefined || this.options.holdsLease()) return obstacle;
-    // Failure: while the log is out another instance cannot be told from one that has taken over.
-    // Idempotent work goes on, work that must run at most once is refused: certainly not run.
+    // While the log is unavailable, this instance cannot know whether another one has become the
+    // home. Idempotent requests continue, and requests that must run at most once are refused as
+    // not run.
     return refuse('log-unavailable', 'The log does not answer, so the request cannot be claimed.');
   }
 
   private place(): void {
     const isIdle = this.tables.queue.size === 0 && this.tables.preemptions.size === 0;
     if (this.isClosed || isIdle) return;
-    // Failure: a VM gets work after its drain was accepted, because the tables are some ticks old.
+    // Tables that are some ticks old could place work on a VM whose drain is already accepted.
     this.vms.syncIfChanged();
     const nowMs = this.options.clock.monotonicMs();
     const { rng } = this.options;
@@ -211,7 +212,7 @@
     void this.hand(attemptId, vm);
   }
 
-  /** Claims the request where that is needed, and hands the grant to its entry instance. */
+  /** Claims the request unless it is idempotent, and sends the grant to its entry instance. */
   private async hand(attemptId: string, vm: string): Promise<void> {
     const waiting = this.waiting.get(attemptId);
     if (waiting === undefined) {
--- a/src/home/PoolVms.ts
+++ b/src/home/PoolVms.ts
@@ -18,7 +18,7 @@
 export interface PoolVmsOptions {
   readonly tables: PoolTables;
   readonly instance: string;
-  /** Term in which this instance decides for the pool. */
+  /** Term in which this instance is the home of the pool. */
   readonly term: number;
   readonly fleet: FleetTables;
   readonly directory: VmDirectory;
@@ -28,11 +28,11 @@
   readonly clock: Clock;
   readonly events: EventLog;
   readonly metrics: Metrics;
-  /** Tells whether this instance's lease holds at this moment. */
+  /** Returns whether this instance holds its lease now. */
   readonly holdsLease: () => boolean;
 }
 
-/** What a home tells operators about its pool. */
+/** State of a pool that its home reports to operators. */
 export interface PoolState {
   readonly runningJobCount: number;
   readonly queuedJobCount: number;
@@ -43,13 +43,13 @@
   readonly waveWaitReasons: readonly string[];
 }
 
-/** Least time between two rounds of wave and capacity planning. */
+/** Minimum time between two rounds of wave and capacity planning. */
 const PLAN_EVERY_MS = 250;
 const PROBE_EVERY_MS = 1_000;
 const MINUTE_MS = 60_000;
 const MINUTES_PER_DAY = 1_440;
 
-/** The VMs of a pool at its home: their condition, waves, moves and drains. */
+/** Manages the VMs of a pool at its home: their condition, waves, moves and drains. */
 export class PoolVms {
   private readonly options: PoolVmsOptions;
 
@@ -70,8 +70,8 @@
   private planAtMs = Number.NEGATIVE_INFINITY;
 
   /**
-   * Creates the VMs' side of a home.
-   * @param options - Pool, term, and what it works on.
+   * Creates the manager and its runners.
+   * @param options - Pool, term and dependencies.
    */
   constructor(options: PoolVmsOptions) {
     this.options = options;
@@ -91,7 +91,7 @@
   }
 
   /**
-   * Has a VM probed because a request to it ended without an answer.
+   * Probes a VM because a request to it ended without an answer.
    * @param vm - Name of the VM.
    */
   suspect(vm: string): void {
@@ -100,7 +100,7 @@
   }
 
   /**
-   * Probes what is due, and plans waves, drains and moves now and then.
+   * Runs due probes, and plans waves, drains and moves at most every {@link PLAN_EVERY_MS}.
    * @param fleetProgress - Progress of each wave over all pools.
    */
   tick(fleetProgress: ReadonlyMap<string, WaveProgress>): void {
@@ -110,7 +110,7 @@
     this.planAtMs = nowMs + PLAN_EVERY_MS;
     this.sync();
     this.report();
-    // Failure: a home that lost its lease goes on moving or rebooting VMs beside its successor.
+    // A home that has lost its lease must not move or reboot VMs while its successor does so too.
     if (!this.options.holdsLease() || !this.options.directory.isLoaded) return;
     this.planWaves(nowMs, fleetProgress);
     this.drainRunner.tick();
@@ -118,8 +118,8 @@
   }
 
   /**
-   * Tells operators about the pool.
-   * @returns Counts, and whether the budget holds.
+   * Gets the state of the pool for operators.
+   * @returns Counts, and whether the pool is within its availability budget.
    */
   getState(): PoolState {
     const verdict = checkBudget(this.tables, { nowMs: this.options.clock.monotonicMs() });
@@ -133,8 +133,8 @@
   }
 
   /**
-   * Describes the pool in a line for a person.
-   * @returns Counts, and whether the budget holds.
+   * Describes the state of the pool in one line for operators.
+   * @returns The text of {@link getState}.
    */
   describe(): string {
     const state = this.getState();
@@ -144,16 +144,16 @@
   }
 
   /**
-   * Tells why a wave waits in the pool.
+   * Gets why a wave waits in the pool.
    * @param wave - The wave.
-   * @returns A line, or none where it does not wait here.
+   * @returns One line, or none if the wave does not wait in this pool.
    */
   getWaveReasons(wave: string): readonly string[] {
     const reason = this.waveRunner.getWaitReason(wave);
     return reason === undefined ? [] : [`${this.tables.pool} waits: ${reason}`];
   }
 
-  /** Brings the tables up to date if the log or the platform's list has moved. */
+  /** Updates the tables if the log or the platform's VM list has changed since the last update. */
   syncIfChanged(): void {
     const { fleet, directory } = this.options;
     const isSame =
@@ -161,7 +161,7 @@
     if (!isSame) this.sync();
   }
 
-  /** Brings the tables up to date with the log and the platform's list. */
+  /** Updates the tables from the log and the platform's VM list. */
   sync(): void {
     const { fleet, directory } = this.options;
     this.syncedOffset = fleet.nextOffset;
@@ -219,9 +219,11 @@
   }
 
   /**
-   * Failure: a drain is cancelled while the pool changes homes, or a step ends as failed and its VM
-   * comes back later. Nobody remembers that the platform was told to drain the VM, and it refuses
-   * every task although the pool counts on it. Its own word in a probe shows it.
+   * Undrains a VM whose probe reports that it is draining although it should accept work.
+   *
+   * This happens when a drain is cancelled while the pool changes homes, or when a step ends as
+   * failed and its VM comes back later. No instance then remembers the drain, and the VM refuses
+   * every task although the pool counts its slots.
    */
   private undrainForgotten(vm: string): void {
     this.sync();
--- a/src/home/Refusal.ts
+++ b/src/home/Refusal.ts
@@ -1,12 +1,12 @@
 import type { PeerReply } from '../peers/index.js';
 
-/** Answer of a home that does not give what was asked. */
+/** Reply of a home that refuses a request. */
 export type Refusal = Extract<PeerReply, { readonly type: 'refused' }>;
 
 /**
  * Builds a refusal.
- * @param kind - Kind of the error that the caller is told.
- * @param message - What happened, in a sentence for a person.
+ * @param kind - Kind of the error that the caller gets.
+ * @param message - Reason as a sentence for people.
  * @returns The refusal.
  */
 export function refuse(kind: Refusal['kind'], message: string): Refusal {
--- a/src/home/VmProber.ts
+++ b/src/home/VmProber.ts
@@ -10,7 +10,7 @@
   readonly events: EventLog;
   /** How often an unreachable VM is probed. */
   readonly probeEveryMs: number;
-  /** Hears of a VM that answers and says that it takes no tasks. */
+  /** Called with a VM that answers a probe and reports that it is draining. */
   readonly onDraining: (vm: string) => void;
 }
 
@@ -20,7 +20,7 @@
   readonly probeAtMs: number;
 }
 
-/** Probes VMs that did not answer, on connections of their own, until they answer again. */
+/** Probes VMs that did not answer, on separate connections, until they answer again. */
 export class VmProber {
   private readonly options: VmProberOptions;
 
@@ -30,17 +30,17 @@
 
   /**
    * Creates a prober without suspects.
-   * @param options - How to probe, and how often.
+   * @param options - Dependencies and the probe interval.
    */
   constructor(options: VmProberOptions) {
     this.options = options;
   }
 
   /**
-   * Has a VM probed because a request to it ended without an answer.
+   * Probes a VM because a request to it ended without an answer.
    *
-   * Failure: a connection went silent because something between the two ends lost track of it,
-   * and a healthy VM would be given up. Only a probe on a new connection makes it unreachable.
+   * A connection to a healthy VM can go silent because something between the two ends has lost
+   * track of it. A VM therefore becomes unreachable only if a probe on a new connection fails.
    * @param vm - The VM.
    */
   suspect(vm: VmRow): void {
@@ -51,15 +51,15 @@
   }
 
   /**
-   * Tells whether a VM failed its last probe.
+   * Checks whether a VM failed its last probe.
    * @param vm - Name of the VM.
-   * @returns Whether it should get no work.
+   * @returns Whether the VM is unreachable and should get no work.
    */
   isUnreachable(vm: string): boolean {
     return this.suspects.get(vm)?.isUnreachable ?? false;
   }
 
-  /** Probes the suspects that are due. */
+  /** Probes the suspects whose next probe is due. */
   tick(): void {
     const nowMs = this.options.clock.monotonicMs();
     Array.from(this.suspects.values())
--- a/src/home/WaitingRequests.ts
+++ b/src/home/WaitingRequests.ts
@@ -9,11 +9,11 @@
   readonly explainLog: ExplainLog;
 }
 
-/** A request for a slot whose entry instance has no answer yet. */
+/** A request for a slot that has not been answered yet. */
 export interface WaitingRequest {
   readonly entry: string;
   readonly request: GrantRequest;
-  /** When it came, by the monotonic clock. */
+  /** Monotonic time at which the request arrived. */
   readonly enteredAtMs: number;
 }
 
@@ -21,15 +21,15 @@
   readonly reply: (reply: PeerReply) => void;
 }
 
-/** Requests for slots of a pool that wait for their answer, queued or placed. */
+/** Requests for slots of a pool that are not answered yet, whether queued or placed. */
 export class WaitingRequests {
   private readonly options: WaitingRequestsOptions;
 
   private readonly byAttempt = new Map<string, Waiting>();
 
   /**
-   * Starts without requests.
-   * @param options - Where refusals are told.
+   * Creates an empty collection.
+   * @param options - Logs that record refusals.
    */
   constructor(options: WaitingRequestsOptions) {
     this.options = options;
@@ -38,7 +38,7 @@
   /**
    * Adds a request.
    * @param waiting - The request.
-   * @returns Its answer, once there is one.
+   * @returns The reply, once the request is answered.
    */
   add(waiting: WaitingRequest): Promise<PeerReply> {
     return new Promise((reply) => {
@@ -49,25 +49,25 @@
   /**
    * Gets a request.
    * @param attemptId - Id of the attempt.
-   * @returns The request, or undefined where it is answered or unknown.
+   * @returns The request, or undefined if it is answered or unknown.
    */
   get(attemptId: string): WaitingRequest | undefined {
     return this.byAttempt.get(attemptId);
   }
 
   /**
-   * Tells whether a request waits.
+   * Checks whether a request is waiting.
    * @param attemptId - Id of the attempt.
-   * @returns Whether it has no answer yet.
+   * @returns Whether it is not answered yet.
    */
   has(attemptId: string): boolean {
     return this.byAttempt.has(attemptId);
   }
 
   /**
-   * Answers a request; nothing happens where it is answered already.
+   * Answers a request; does nothing if it is already answered or unknown.
    * @param attemptId - Id of the attempt.
-   * @param reply - The answer.
+   * @param reply - The reply.
    */
   answer(attemptId: string, reply: PeerReply): void {
     const waiting = this.byAttempt.get(attemptId);
@@ -76,17 +76,17 @@
   }
 
   /**
-   * Answers every request.
-   * @param reply - The answer.
+   * Answers every waiting request.
+   * @param reply - The reply.
    */
   answerAll(reply: PeerReply): void {
     Array.from(this.byAttempt.keys()).forEach((attemptId) => this.answer(attemptId, reply));
   }
 
   /**
-   * Refuses a request and tells of it.
+   * Refuses a waiting request and reports the refusal.
    * @param attemptId - Id of the attempt.
-   * @param refusal - Why.
+   * @param refusal - The refusal.
    */
   refuse(attemptId: string, refusal: Refusal): void {
     const waiting = this.byAttempt.get(attemptId);
@@ -95,9 +95,9 @@
   }
 
   /**
-   * Tells of a refusal.
-   * @param request - What is refused.
-   * @param refusal - Why.
+   * Reports a refusal to the event log and the explain log.
+   * @param request - The refused request.
+   * @param refusal - The refusal.
    */
   tellRefusal(request: GrantRequest, refusal: Refusal): void {
     const { requestId, pool, team, jobKind } = request;
--- a/src/home/WaveRunner.ts
+++ b/src/home/WaveRunner.ts
@@ -19,9 +19,9 @@
   readonly clock: Clock;
   readonly events: EventLog;
   readonly metrics: Metrics;
-  /** Tells whether this instance's lease holds at this moment. */
+  /** Returns whether this instance holds its lease now. */
   readonly holdsLease: () => boolean;
-  /** Gets the VM as the platform lists it. */
+  /** Gets a VM from the platform's list. */
   readonly getVm: (vm: string) => VmRow | undefined;
 }
 
@@ -29,7 +29,7 @@
   | {
       readonly type: 'draining';
       readonly checkpointAtMs: number;
-      /** Monotonic time at which a VM that answers nothing until then counts as failed. */
+      /** Monotonic time at which the step fails if the VM does not answer. */
       readonly giveUpAtMs: number;
     }
   | { readonly type: 'rebooting'; readonly giveUpAtMs: number };
@@ -44,7 +44,7 @@
   readonly phase: StepPhase;
 }
 
-/** Longest wait until a record about a step is read back. */
+/** Maximum time to wait until a record about a step is read back from the log. */
 const WRITE_WAIT_MS = 5_000;
 
 async function succeeds(action: Promise<void>): Promise<boolean> {
@@ -56,7 +56,7 @@
   }
 }
 
-/** Carries out the steps of waves in one pool: drain, wait for running tasks, reboot, return. */
+/** Executes the wave steps of one pool: drain, wait for running tasks, reboot, undrain. */
 export class WaveRunner {
   private readonly options: WaveRunnerOptions;
 
@@ -69,14 +69,14 @@
   private readonly waitReasons = new Map<string, string>();
 
   /**
-   * Creates a runner; steps that a former home left open are taken up at the next tick.
-   * @param options - Pool, term, and what the runner works on.
+   * Creates a runner; the first tick resumes steps that an earlier home did not finish.
+   * @param options - Pool, term and dependencies.
    */
   constructor(options: WaveRunnerOptions) {
     this.options = options;
   }
 
-  /** VMs that get no new work because a step on them has begun or is about to. */
+  /** VMs that get no new work because a step on them has started or is about to start. */
   get withheldVms(): ReadonlySet<string> {
     return this.withheld;
   }
@@ -84,14 +84,14 @@
   /**
    * Gets why a wave waits in this pool.
    * @param wave - The wave.
-   * @returns The latest reason, or undefined where it does not wait.
+   * @returns The latest reason, or undefined if the wave does not wait.
    */
   getWaitReason(wave: string): string | undefined {
     return this.waitReasons.get(wave);
   }
 
   /**
-   * Acts on what the wave system decided.
+   * Executes the decisions of the wave system.
    * @param decisions - The decisions of one tick.
    */
   apply(decisions: readonly WaveDecision[]): void {
@@ -113,7 +113,7 @@
     });
   }
 
-  /** Takes every step of the pool a little further. */
+  /** Resumes unfinished steps of the pool and advances every running one. */
   tick(): void {
     if (!this.options.holdsLease()) return;
     this.options.tables.waveSteps
@@ -141,8 +141,10 @@
   }
 
   /**
-   * Failure: the former home wrote a step and was lost before, during or after the reboot. The
-   * step's boot identity tells which: a VM that shows another boot has been rebooted.
+   * Resumes a step that is recorded in the log but not running here.
+   *
+   * An earlier home can have been lost before, during or after the reboot. If the VM's boot id
+   * differs from the one in the step, the VM has been rebooted.
    */
   private takeUp(step: WaveStepRow): void {
     if (this.steps.has(step.vm)) return;
@@ -195,13 +197,13 @@
       await this.checkpointTasks(vm, status.runningTaskIds);
     }
     const hasGrants = tables.grants.list().some((grant) => grant.vm === step.vm);
-    // Failure: a reboot cuts off a request in progress. Grants of this home can be incomplete after
-    // a takeover, so the target itself has to say that it refuses new tasks and runs none.
+    // A reboot would abort requests in progress. This home may not know all grants after a
+    // takeover, so the target itself must report that it refuses new tasks and runs none.
     const isIdle = status.draining && status.runningTaskIds.length === 0;
     if (!isDrained || hasGrants || !isIdle) return;
-    // Failure: this process was paused while it waited, another home works on the step now, and a
-    // late reboot would cut off what runs on the VM by then. Hence the check right before the act,
-    // and the boot identity for a call that is delayed on its way.
+    // If this process was paused, another home may have continued the step, and a late reboot
+    // would abort tasks that the VM runs by now. The lease is therefore checked immediately before
+    // the call, and the boot id protects against a call that is delayed in transit.
     if (!this.options.holdsLease()) return;
     events.write('vmRebooting', { wave: step.wave, vm: step.vm, bootId: step.bootId });
     await succeeds(vmPort.reboot(step.vm, step.bootId));
@@ -209,9 +211,11 @@
   }
 
   /**
-   * Failure: the former home rebooted the VM, which never came back, and was lost before it could
-   * say so; or the VM died while it drained. Its successor would wait for the drain for ever, and
-   * the wave would neither go on nor stop.
+   * Fails a step whose VM has not answered until the deadline.
+   *
+   * The VM may have died while draining, or an earlier home was lost after it rebooted a VM that
+   * never came back. Without the deadline this home would wait for the drain forever, and the wave
+   * would neither continue nor stop.
    */
   private async giveUpSilent(step: RunningStep, phase: DrainPhase): Promise<void> {
     if (this.options.clock.monotonicMs() >= phase.giveUpAtMs) await this.finish(step, 'failed');
@@ -234,8 +238,8 @@
       await this.finish(step, 'failed');
       return;
     }
-    // The call's answer, or the call itself, may have been lost; it is repeated while the VM still
-    // shows the old boot, is idle and drained, and the lease holds.
+    // The reboot call or its answer may have been lost. The call is repeated while the VM still has
+    // the old boot id, is drained and idle, and this instance holds the lease.
     const isIdle = status?.draining === true && status.runningTaskIds.length === 0;
     if (isIdle && this.options.holdsLease()) await succeeds(vmPort.reboot(step.vm, step.bootId));
   }
@@ -261,7 +265,7 @@
     return { type: 'rebooting', giveUpAtMs: this.getRebootEndMs() };
   }
 
-  /** Monotonic time by which a VM that reboots from now on should answer again. */
+  /** Monotonic time by which a VM that is rebooted now must answer again. */
   private getRebootEndMs(): number {
     const { clock, tables } = this.options;
     return clock.monotonicMs() + tables.settings.maintenance.rebootTimeoutMs;
--- a/src/home/findFailedRacks.ts
+++ b/src/home/findFailedRacks.ts
@@ -2,10 +2,10 @@
 import type { VmRow } from '../tables/index.js';
 
 /**
- * Finds the racks that lost every VM at once.
+ * Finds the racks whose VMs are all gone.
  *
- * Failure: a rack fails during a wave that has maintained this pool's few VMs in it, and the pool
- * takes the loss for the work of the maintenance. The VMs of other pools tell the two apart.
+ * If a rack fails during a wave that has maintained this pool's few VMs in it, the loss looks like
+ * a result of the maintenance. The VMs of other pools in the rack distinguish the two cases.
  * @param vms - VMs of the whole fleet.
  * @returns The racks, as `data centre/rack`.
  */
--- a/src/home/grantRows.ts
+++ b/src/home/grantRows.ts
@@ -3,19 +3,19 @@
 import type { GrantRow, QueuedRow } from '../tables/index.js';
 import type { Clock } from '../utils/index.js';
 
-/** How long a grant lasts unless its entry instance renews it. */
+/** How long a grant is valid unless its entry instance renews it. */
 export const GRANT_LENGTH_MS = 6_000;
 
-/** A grant that an entry instance holds from an earlier home. */
+/** A grant that an entry instance still holds from an earlier home. */
 export interface GrantHeldElsewhere extends HeldGrant {
   readonly entry: string;
 }
 
 /**
  * Creates the row of a request that waits for a slot.
- * @param entry - Instance that asks.
- * @param request - What it asks.
- * @param clock - Clock that turns the caller's deadline into one of this process.
+ * @param entry - Entry instance that sent the request.
+ * @param request - The request.
+ * @param clock - Clock that converts the caller's wall-clock deadline to monotonic time.
  * @returns The row.
  */
 export function createQueuedRow(entry: string, request: GrantRequest, clock: Clock): QueuedRow {
@@ -30,7 +30,7 @@
 /**
  * Creates the grant of a request that was placed.
  * @param row - The request.
- * @param placed - Where, and what is set aside for it.
+ * @param placed - VM and the resources that are reserved on it.
  * @param nowMs - Monotonic time.
  * @returns The grant.
  */
@@ -47,8 +47,8 @@
 }
 
 /**
- * Creates the row of a grant that an earlier home gave.
- * @param held - The grant as its entry instance holds it.
+ * Creates the row of a grant that an earlier home issued.
+ * @param held - The grant as its entry instance reports it.
  * @param pool - Pool as `team/pool`.
  * @param nowMs - Monotonic time.
  * @returns The grant.
--- a/src/home/isUnderWay.ts
+++ b/src/home/isUnderWay.ts
@@ -1,10 +1,10 @@
 import type { FleetTables, PoolTables } from '../tables/index.js';
 
 /**
- * Tells whether an entry instance that runs waits with a request, or has a grant for it.
+ * Checks whether a joined entry instance waits for a grant for a request, or holds one.
  * @param requestId - Id of the request.
  * @param tables - Queue and grants of the pool.
- * @param fleet - The instances.
+ * @param fleet - Tables with the instances.
  * @returns Whether the request is under way.
  */
 export function isUnderWay(requestId: string, tables: PoolTables, fleet: FleetTables): boolean {
--- a/src/home/syncPoolTables.ts
+++ b/src/home/syncPoolTables.ts
@@ -7,14 +7,16 @@
   readonly tables: PoolTables;
   readonly fleet: FleetTables;
   readonly directory: VmDirectory;
-  /** VMs that this home keeps new work off, for steps and releases it has begun. */
+  /** VMs that get no new work because this home has started a step or a release on them. */
   readonly withheldVms: ReadonlySet<string>;
   readonly isUnreachable: (vm: string) => boolean;
 }
 
 /**
- * Failure: the platform's list lags, and a VM that leaves or reboots would still get work. Orders
- * of operators and steps of waves count before the list does.
+ * Determines the condition of a VM.
+ *
+ * The platform's list lags, so that a VM that leaves or reboots would still get work. Operators'
+ * drains and wave steps therefore take precedence over the list.
  */
 function findCondition(vm: VmRow, options: SyncPoolTablesOptions): PoolVmRow['condition'] {
   const { tables, fleet, withheldVms, isUnreachable } = options;
@@ -41,8 +43,8 @@
 }
 
 /**
- * Brings a pool's tables up to date with the log and the platform's list.
- * @param options - Tables to write, and the sources.
+ * Updates a pool's tables from the log and the platform's VM list.
+ * @param options - Tables to update, and their sources.
  */
 export function syncPoolTables(options: SyncPoolTablesOptions): void {
   const { tables, fleet } = options;
--- a/src/home/tellRunVerdict.ts
+++ b/src/home/tellRunVerdict.ts
@@ -3,16 +3,16 @@
 import { assertNever } from '../utils/index.js';
 import type { ExplainLog } from './ExplainLog.js';
 
-/** Where the verdict on a run is told. */
+/** Logs that record the verdict on a run. */
 export interface RunVerdictTellers {
   readonly events: EventLog;
   readonly explainLog: ExplainLog;
 }
 
 /**
- * Tells what a run has taught about its VM or its job.
+ * Reports the verdict on a run's VM or job to the logs.
  * @param verdict - The verdict.
- * @param tellers - Where it is told.
+ * @param logs - The event log and the explain log.
  */
 export function tellRunVerdict(
   verdict: RunVerdict,
--- a/src/membership/HeldLease.ts
+++ b/src/membership/HeldLease.ts
@@ -7,7 +7,7 @@
   readonly timing: LeaseTiming;
 }
 
-/** This instance's own lease, judged only by its own clocks. */
+/** This instance's own lease; its validity depends only on this instance's clocks. */
 export class HeldLease {
   private readonly options: HeldLeaseOptions;
 
@@ -24,8 +24,8 @@
   }
 
   /**
-   * Notes the time just before a join or renewal is sent.
-   * @returns Both clocks' readings, to be handed to {@link extend} once it is accepted.
+   * Reads both clocks just before a join or renewal is sent.
+   * @returns The readings, to be passed to {@link extend} once the record is accepted.
    */
   readClocks(): { readonly monotonicMs: number; readonly wallMs: number } {
     const { clock } = this.options;
@@ -35,8 +35,8 @@
   /**
    * Extends the lease after a join or renewal was read back as accepted.
    *
-   * Counting from before the sending keeps the holder's deadline ahead of every contender's, who
-   * can have read the record only after it was sent.
+   * The lease counts from before the record was sent. Contenders can read the record only after
+   * that, so the holder's deadline is always earlier than theirs.
    * @param sentAt - Clocks just before the record was sent.
    */
   extend(sentAt: { readonly monotonicMs: number; readonly wallMs: number }): void {
@@ -46,19 +46,20 @@
     this.wallDeadlineMs = Math.max(this.wallDeadlineMs, sentAt.wallMs + lengthMs);
   }
 
-  /** Gives the lease up at once. */
+  /** Gives up the lease immediately. */
   drop(): void {
     this.monotonicDeadlineMs = Number.NEGATIVE_INFINITY;
     this.wallDeadlineMs = Number.NEGATIVE_INFINITY;
   }
 
   /**
-   * Tells whether the lease holds at this moment.
+   * Checks whether the lease is held now.
    *
-   * Failure: the process or its VM was paused and acts on a lease that others have seen lapse. A
-   * stopped process misses neither clock; a VM paused by its host can miss the monotonic one, so
-   * the lease also ends by the wall clock. Called immediately before each act that it protects.
-   * @returns Whether the lease holds.
+   * If the process or its VM was paused, other instances may have seen the lease lapse. Both clocks
+   * advance while a process is stopped, but the monotonic clock can stand still while a host pauses
+   * the VM, so the lease also ends by the wall clock. Callers check the lease immediately before
+   * each action that it protects.
+   * @returns Whether the lease is held.
    */
   isHeld(): boolean {
     const { clock } = this.options;
--- a/src/membership/HomeKeeper.ts
+++ b/src/membership/HomeKeeper.ts
@@ -1,7 +1,7 @@
 import type { FleetTables, HomeRow } from '../tables/index.js';
 import { rankByRendezvous } from '../utils/index.js';
 
-/** What to do about the home of a pool. */
+/** Claim or release of the home of a pool. */
 export type HomeDecision =
   | { readonly type: 'claim'; readonly pool: string; readonly expectedTerm: number }
   | { readonly type: 'release'; readonly pool: string; readonly term: number };
@@ -10,9 +10,9 @@
 export interface HomeKeeperOptions {
   /** This instance. */
   readonly instance: string;
-  /** How much longer each next candidate waits for the ones before it to claim. */
+  /** Additional time that a candidate waits to claim for each candidate ranked before it. */
   readonly candidateStepMs: number;
-  /** How long an instance must have been joined before pools are handed to it. */
+  /** How long an instance must have been joined before pools are released to it. */
   readonly settleMs: number;
 }
 
@@ -24,7 +24,7 @@
   return new Map(names.map((name) => [name, known.get(name) ?? nowMs]));
 }
 
-/** Decides which pools this instance should claim, and which it should hand on. */
+/** Decides which pools this instance should claim, and which it should release. */
 export class HomeKeeper {
   private readonly options: HomeKeeperOptions;
 
@@ -33,18 +33,18 @@
   private joinedSinceMs: ReadonlyMap<string, number> = new Map();
 
   /**
-   * Creates a keeper.
-   * @param options - Own name and waits.
+   * Creates a planner.
+   * @param options - Name of this instance and waiting times.
    */
   constructor(options: HomeKeeperOptions) {
     this.options = options;
   }
 
   /**
-   * Decides about every pool.
-   * @param tables - State by the log.
+   * Decides on the home of every pool.
+   * @param tables - State derived from the log.
    * @param nowMs - Monotonic time.
-   * @returns Claims and releases to write; the fold decides races.
+   * @returns Claims and releases to write; applying the log's records in order resolves races.
    */
   decide(tables: FleetTables, nowMs: number): readonly HomeDecision[] {
     const homes = tables.homes.list();
--- a/src/membership/LapseWatch.ts
+++ b/src/membership/LapseWatch.ts
@@ -2,7 +2,7 @@
 import { rankByRendezvous } from '../utils/index.js';
 import type { LeaseTiming } from './LeaseTiming.js';
 
-/** An instance whose lease has run out by this instance's own count. */
+/** An instance whose lease has expired according to this instance's observations. */
 export interface LapsedInstance {
   readonly instance: string;
   readonly observedRenewalOffset: number;
@@ -17,40 +17,41 @@
 
 interface Observation {
   readonly renewalOffset: number;
-  /** Monotonic time from which the wait counts. */
+  /** Monotonic time at which this renewal was first seen. */
   readonly sinceMs: number;
 }
 
-/** Counts for every other instance how long its lease went without a renewal. */
+/** Detects other instances whose leases were not renewed in time. */
 export class LapseWatch {
   private readonly options: LapseWatchOptions;
 
   private observations: ReadonlyMap<string, Observation> = new Map();
 
   /**
-   * Creates a watch that has seen nothing.
-   * @param options - Own name and timing.
+   * Creates a detector without observations.
+   * @param options - Name of this instance and lease timing.
    */
   constructor(options: LapseWatchOptions) {
     this.options = options;
   }
 
   /**
-   * Starts every wait anew.
+   * Discards all observations, so that every wait starts over.
    *
-   * Failure: after an outage of the log nobody could renew, and the first instance back would end
-   * the leases of all others. Time in which the log could not be read does not count.
+   * No instance can renew while the log is unavailable, and the first instance to reach the log
+   * again would end the leases of all others. Time in which the log cannot be read does not count.
    */
   restart(): void {
     this.observations = new Map();
   }
 
   /**
-   * Finds the instances whose lease this instance may end.
-   * @param instances - Instances by the log.
-   * @param readToEndAtMs - Monotonic time at which the latest read to the log's end was sent.
+   * Finds the instances whose leases this instance may end.
+   * @param instances - Instances according to the log.
+   * @param readToEndAtMs - Monotonic time at which the latest read that reached the log's end was
+   *   sent.
    * @param nowMs - Monotonic time.
-   * @returns The lapsed ones; the condition in the record decides races with a renewal.
+   * @returns The lapsed instances; the renewal offset in the record resolves races with a renewal.
    */
   findLapsed(
     instances: Table<string, InstanceRow>,
--- a/src/membership/LeaseTiming.ts
+++ b/src/membership/LeaseTiming.ts
@@ -1,16 +1,16 @@
-/** Lengths of time that every instance has to agree on; they are part of the lease's safety. */
+/** Durations that must be the same on every instance, because lease safety depends on them. */
 export interface LeaseTiming {
-  /** How long an accepted join or renewal lasts, from before it was sent. */
+  /** How long an accepted join or renewal is valid, counted from before it was sent. */
   readonly leaseMs: number;
   /** How often a lease is renewed. */
   readonly renewEveryMs: number;
-  /** Taken off the holder's side and added to the contender's, against clocks that run apart. */
+  /** Subtracted from the holder's lease and added to the contenders' wait, against clock drift. */
   readonly marginMs: number;
-  /** Step by which contenders of lower rank wait longer, so that one of them writes. */
+  /** Additional wait of a contender per rank, so that only one contender writes. */
   readonly contenderStepMs: number;
 }
 
-/** Timing of production. */
+/** Lease timing used in production. */
 export const DEFAULT_LEASE_TIMING: LeaseTiming = {
   leaseMs: 5_000,
   renewEveryMs: 1_250,
--- a/src/membership/Membership.ts
+++ b/src/membership/Membership.ts
@@ -9,7 +9,7 @@
 
 /** Options of {@link Membership}. */
 export interface MembershipOptions {
-  /** This instance as it joins; the name is unique to this start of the process. */
+  /** This instance's row; its name is unique to each start of the process. */
   readonly self: Omit<InstanceRow, 'renewalOffset' | 'state'>;
   readonly tables: FleetTables;
   readonly writer: Pick<LogWriter, 'write'>;
@@ -17,11 +17,14 @@
   readonly events: EventLog;
   readonly metrics: Metrics;
   readonly timing: LeaseTiming;
-  /** Reads when the latest read to the log's end was sent; undefined while the log is out. */
+  /**
+   * Gets when the latest read that reached the log's end was sent; undefined while the log is
+   * unavailable.
+   */
   readonly getReadToEndAtMs: () => number | undefined;
 }
 
-/** This instance's place among the instances: joins, renews, and ends the leases of lost ones. */
+/** Joins this instance to the fleet, renews its lease, and ends the leases of lost instances. */
 export class Membership {
   private readonly options: MembershipOptions;
 
@@ -41,7 +44,7 @@
 
   /**
    * Creates the membership of an instance that has not joined yet.
-   * @param options - Who it is, and what it works on.
+   * @param options - Identity of this instance, and dependencies.
    */
   constructor(options: MembershipOptions) {
     this.options = options;
@@ -51,14 +54,14 @@
   }
 
   /**
-   * Tells whether this instance's lease holds at this moment.
-   * @returns Whether acts that need the lease are allowed.
+   * Checks whether this instance holds its lease now.
+   * @returns Whether actions that need the lease are allowed.
    */
   holdsLease(): boolean {
     return this.lease.isHeld();
   }
 
-  /** Runs the membership once: renewal, detection of lost instances, report of a lost lease. */
+  /** Reports a lost lease, renews the lease if due, and ends the leases of lost instances. */
   tick(): void {
     this.reportLoss();
     if (this.isLeaving) return;
@@ -67,8 +70,8 @@
   }
 
   /**
-   * Leaves, which frees this instance's homes at once.
-   * @param deadlineMs - Monotonic time at which to stop trying.
+   * Leaves the fleet, which immediately frees the pools whose home this instance is.
+   * @param deadlineMs - Monotonic deadline for writing the record.
    */
   async leave(deadlineMs: number): Promise<void> {
     this.isLeaving = true;
@@ -79,7 +82,7 @@
     await this.options.writer.write({ type: 'instance-left', instance }, { deadlineMs });
   }
 
-  /** Takes part again after {@link leave}: joins at the next tick. */
+  /** Joins again at the next tick after {@link leave}. */
   rejoin(): void {
     this.isLeaving = false;
     this.renewAtMs = Number.NEGATIVE_INFINITY;
@@ -103,9 +106,11 @@
   }
 
   /**
-   * Failure: this instance leaves while a renewal is on its way, and the lease comes to life again
-   * when the renewal is read back, though another instance may have the homes by then. What was
-   * sent before a leave extends no lease after it.
+   * Joins, or renews the lease if this instance has joined.
+   *
+   * If this instance leaves while a renewal is in flight, another instance may become the home of
+   * its pools before the renewal is read back. A record that was sent before a leave therefore does
+   * not extend the lease after it.
    */
   private async joinOrRenew(): Promise<void> {
     const { self, tables, writer, clock, timing, events } = this.options;
--- a/tests/home/ClaimDesk.test.ts
+++ b/tests/home/ClaimDesk.test.ts
@@ -90,9 +90,9 @@
       expect(desk.findObstacle('a', request, false)).toMatchObject({ kind: 'already-run' });
     });
 
-    // Story: a home is paused past its lease. Another instance takes the pool over, and a caller's
-    // save runs there. The first home wakes, does not know of it, and gets the same save from a
-    // caller that repeated it at another entry VM. Its claim carries the old term.
+    // Guards against a request that runs twice: a home is paused until its lease has expired, and
+    // the request runs through the new home. The old home resumes without knowing this and gets a
+    // retry of the request from another entry VM. Its claim carries the old term.
     it('refuses through a home that was taken over while it was frozen', async () => {
       const { log, a, desk } = await createWorld();
       const b = start(log, 'b');
@@ -128,10 +128,10 @@
       });
     });
 
-    // Story: the log is out while a page save comes in. The caller is told at once that it did not
-    // run. The claim, whose answer was lost, stands on the log after all. The caller repeats the
-    // save once the log is back: it must neither be blocked for ever nor run under a claim that is
-    // just being settled as not run.
+    // The log is unavailable when a request arrives, and the caller is told that it did not run.
+    // The claim is in the log nevertheless; only its answer was lost. When the caller retries after
+    // the outage, the request must neither be blocked forever nor run under a claim that is being
+    // settled as not run.
     it('frees a request whose claim was lost, before it lets a repeat pass', async () => {
       const { log, a, desk } = await createWorld();
       const request = createRequest('r1');
@@ -151,8 +151,9 @@
   });
 
   describe('findObstacle', () => {
-    // Story: the entry VM that sent a save on is killed before the answer. The caller repeats the
-    // save elsewhere. Nobody can tell whether the target has run it.
+    // Guards against a request that runs twice: its entry VM is killed between sending the request
+    // and the answer. The caller retries at another entry VM, and it is unknown whether the target
+    // has run the request.
     it('calls a request unknown whose entry instance is gone', async () => {
       const { log, a, desk } = await createWorld();
       const b = start(log, 'b');
--- a/tests/home/VmProber.test.ts
+++ b/tests/home/VmProber.test.ts
@@ -14,7 +14,7 @@
   usedMemoryMb: 0,
 };
 
-/** Probes a VM once for each status in turn, a second apart. */
+/** Probes a VM once per status, one second apart. */
 async function probe(statuses: readonly (TargetStatus | undefined)[]) {
   const clock = new ManualClock();
   const drained: string[] = [];
@@ -47,8 +47,8 @@
 
 describe('VmProber', () => {
   describe('suspect', () => {
-    // Story: a connection to a healthy VM went silent, because something in between forgot it. The
-    // VM must not lose its work for that: it answers a probe on a new connection.
+    // Guards against taking work from a healthy VM: its connection goes silent because something
+    // in between has lost track of it, but the VM answers a probe on a new connection.
     it('leaves a VM alone that answers its probe', async () => {
       expect(await probe([STATUS])).toMatchObject({ isUnreachable: false, probeCount: 1 });
     });
@@ -58,8 +58,9 @@
       expect(await probe([undefined, STATUS])).toMatchObject({ isUnreachable: false });
     });
 
-    // Story: an operator cancels a drain while the pool changes homes. The new home has told the
-    // platform nothing, the VM refuses every task for ever, and the pool counts on its slots.
+    // Guards against a VM that stays drained: an operator cancels a drain while the pool changes
+    // homes, and the new home never tells the platform. The VM would refuse every task forever
+    // although the pool counts its slots.
     it('tells of a VM that answers and takes no tasks', async () => {
       expect((await probe([{ ...STATUS, draining: true }])).drained).toEqual(['vm-1']);
     });
--- a/tests/home/WaveRunner.test.ts
+++ b/tests/home/WaveRunner.test.ts
@@ -37,7 +37,7 @@
   usedMemoryMb: 0,
 };
 
-/** A runner that has just become the home of a pool with one open step, and what it did. */
+/** Creates a runner for a new home of a pool with one unfinished step, and records its calls. */
 function takeOver(getStatus: () => TargetStatus | undefined) {
   const clock = new ManualClock();
   const tables = new PoolTables('team/pool', SETTINGS);
@@ -85,8 +85,8 @@
       expect(calls).toEqual(['drain', 'reboot']);
     });
 
-    // Story: a search runs on the VM that a wave wants to reboot, or its grant is still out. The
-    // reboot would cut it off.
+    // Guards against a reboot that aborts a request: a task runs on the VM, the VM still accepts
+    // tasks, or (in the test after this one) a grant for it is in use.
     it.each([
       ['a task runs', { ...IDLE, runningTaskIds: ['t'] }],
       ['the target takes tasks', { ...IDLE, draining: false }],
@@ -116,8 +116,9 @@
       expect(calls).toEqual(['drain']);
     });
 
-    // Story: the home is paused while it waits for the drain, and its lease runs out. It wakes with
-    // everything ready for the reboot, while its successor has done it and given the VM new work.
+    // Guards against a second reboot: the home is paused while it waits for the drain until its
+    // lease has expired. It resumes with everything ready for the reboot, but its successor has
+    // already rebooted the VM and placed new work on it.
     it('does not reboot once the lease is gone', async () => {
       const { calls, world, tick } = takeOver(() => {
         world.holdsLease = false;
@@ -135,9 +136,9 @@
       expect(written).toMatchObject([{ type: 'step-finished', result: 'maintained' }]);
     });
 
-    // Story: a home tells a VM to reboot, which never comes back, and hands the pool on before it
-    // can say so. The next home waited for the drain of a dead VM for ever; the wave neither went
-    // on nor stopped.
+    // Guards against a wave that hangs: a home reboots a VM that never comes back, and the pool
+    // changes homes before the step is recorded as failed. The next home waited for the drain of
+    // the dead VM forever, and the wave neither continued nor stopped.
     it('gives a VM up that answers nothing at all', async () => {
       const { written, clock, tick } = takeOver(() => undefined);
       await tick();
--- a/tests/membership/HeldLease.test.ts
+++ b/tests/membership/HeldLease.test.ts
@@ -39,9 +39,9 @@
       expect(isHeldAfter({ monotonicMs: 4_500, wallMs: 4_499 })).toBe(false);
     });
 
-    // Story: a host pauses the VM of a home for a minute and lets it go on. The VM's monotonic
-    // clock did not run meanwhile, so by it nothing has happened, while another instance has taken
-    // the pool over. The wall clock was set right after the pause, and shows it.
+    // Guards against a lease that survives a pause: a host pauses the VM of a home for a minute,
+    // and another instance takes over the pool. The VM's monotonic clock stands still during the
+    // pause; only the wall clock, which is corrected after the pause, shows the lost time.
     it('ends by the wall clock when a paused VM missed the monotonic one', () => {
       expect(isHeldAfter({ monotonicMs: 10, wallMs: 60_000 })).toBe(false);
     });
@@ -52,9 +52,9 @@
   });
 
   describe('extend', () => {
-    // Story: a renewal is sent, the process freezes before it reads the record back, and wakes
-    // after the lease has run out for everybody else. Counted from the reading back, the lease
-    // would seem fresh.
+    // The process sends a renewal, is paused before it reads the record back, and resumes after the
+    // lease has expired for all other instances. If the lease counted from reading the record back,
+    // it would seem to be held.
     it.each([
       ['monotonic', 7_000, 0],
       ['wall', 0, 7_000],
--- a/tests/membership/HomeKeeper.test.ts
+++ b/tests/membership/HomeKeeper.test.ts
@@ -28,8 +28,8 @@
       expect(claimed.map(({ pool }) => pool).toSorted()).toEqual(POOLS.toSorted());
     });
 
-    // Story: an instance has joined and died, and nobody has noticed yet. The pools that it should
-    // claim must not wait for that.
+    // An instance has joined and died, and its lease has not lapsed yet. The pools that it should
+    // claim must not stay vacant until then.
     it('lets the next candidate claim when the first one does not', () => {
       const fleet = createFleet(NAMES);
       const keeper = createKeeper('a');
--- a/tests/membership/LapseWatch.test.ts
+++ b/tests/membership/LapseWatch.test.ts
@@ -46,8 +46,8 @@
       expect(watch.findLapsed(fleet.instances, WAIT_MS, WAIT_MS)).toEqual([]);
     });
 
-    // Story: this instance reads the log slowly. It has seen no renewal for six seconds, yet its
-    // last whole read was sent three seconds ago, and the renewal stands on the log unread.
+    // This instance reads the log slowly. It has seen no renewal for six seconds, but its last read
+    // that reached the log's end was sent three seconds ago, and the log holds an unread renewal.
     it('counts only to the last read that reached the end of the log', () => {
       const fleet = createFleet();
       const watch = createWatch();
@@ -57,8 +57,8 @@
   });
 
   describe('restart', () => {
-    // Story: the log was out for a minute and answers again. Nobody could renew, and the first
-    // instance to read would end the leases of all the others, so every pool would change homes.
+    // No instance can renew during a log outage of one minute. The first instance to read the log
+    // afterwards would end the leases of all others, and every pool would change homes.
     it('gives everyone a whole lease again after an outage of the log', () => {
       const fleet = createFleet();
       const watch = createWatch();
--- a/tests/membership/Membership.test.ts
+++ b/tests/membership/Membership.test.ts
@@ -14,7 +14,7 @@
   readonly settle: (result: WriteResult) => void;
 }
 
-/** An instance that has joined; each of its later writes is open until the test settles it. */
+/** Creates a joined instance whose later writes stay pending until the test settles them. */
 async function createJoined() {
   const tables = new FleetTables();
   const clock = new ManualClock(1_000_000);
@@ -46,9 +46,9 @@
 }
 
 describe('Membership', () => {
-  // Story: a daemon is told to stop while a renewal of its lease is on its way. It leaves, another
-  // instance takes its pools over, and only then the renewal is read back. The lease came to life
-  // again for almost 5 s, and with it all that the lease guards, such as a reboot in a wave.
+  // A daemon is stopped while a renewal of its lease is in flight. It leaves, another instance
+  // takes over its pools, and only then is the renewal read back. The lease was held again for
+  // almost 5 s and allowed everything that it protects, such as a reboot in a wave.
   it('holds no lease once it has left, also where a renewal is read back later', async () => {
     const { membership, clock, settle } = await createJoined();
     expect(membership.holdsLease()).toBe(true);
