--- a/src/targets/HttpTargetPort.ts
+++ b/src/targets/HttpTargetPort.ts
@@ -33,8 +33,8 @@
   /** Longest wait for the answer to a status or control call, in milliseconds. */
   readonly controlTimeoutMs?: number;
   /**
-   * Idle time after which a connection is not used again, in milliseconds; shorter than what
-   * any middlebox between here and the targets remembers.
+   * Idle time after which a connection is not reused, in milliseconds. It has to be shorter than
+   * the idle timeout of any middlebox between this process and the targets.
    */
   readonly idleLimitMs?: number;
 }
@@ -45,7 +45,7 @@
   readonly controls: HttpJsonClient;
 }
 
-/** Tasks on targets over HTTP; a task is sent at most once by each call. */
+/** Runs tasks on targets over HTTP. Each call sends its task at most once. */
 export class HttpTargetPort implements TargetPort {
   private readonly connectTimeoutMs: number;
 
@@ -56,8 +56,8 @@
   private readonly connections = new Map<string, TargetConnections>();
 
   /**
-   * Creates a client of all targets.
-   * @param options - Limits; what is left out takes its default.
+   * Creates a client for all targets.
+   * @param options - Limits; an omitted limit takes its default.
    */
   constructor(options: HttpTargetPortOptions = {}) {
     this.connectTimeoutMs = options.connectTimeoutMs ?? DEFAULT_CONNECT_TIMEOUT_MS;
@@ -119,7 +119,7 @@
     return answer?.httpStatus === HTTP_OK;
   }
 
-  /** Ends every connection; exchanges in progress fail. */
+  /** Closes every connection. Exchanges in progress fail. */
   async close(): Promise<void> {
     const all = [...this.connections.values()];
     this.connections.clear();
@@ -141,7 +141,7 @@
       },
       body: task.body,
       reset: task.freshConnection,
-      // The exchange watches the target's silence itself, to the millisecond.
+      // TaskExchange enforces the silence limit itself, with millisecond precision.
       headersTimeout: 0,
       bodyTimeout: 0,
     };
@@ -177,15 +177,15 @@
     return {
       pipelining: 1,
       keepAliveTimeout: this.idleLimitMs,
-      // Bounds what a target may ask for in its Keep-Alive header.
+      // Caps the timeout that a target may request in its Keep-Alive header.
       keepAliveMaxTimeout: this.idleLimitMs,
       connect: { timeout: this.connectTimeoutMs },
     };
   }
 
-  // Guards against a middlebox that has lost track of connections: one of them went silent, so
-  // its neighbours in the pool are in doubt too while a new connection may work. No request
-  // starts on them any more; those in progress go on under their own silence limits.
+  // Guards against a middlebox that drops the state of connections. When one connection of the
+  // pool goes silent, the others may be dead too, while a new one may work. No new request uses
+  // the old connections. Requests in progress continue under their own silence limits.
   private retire(target: TargetAddress, dispatcher: Dispatcher): void {
     const key = HttpTargetPort.keyOf(target);
     const known = this.connections.get(key);
@@ -195,8 +195,8 @@
     void known.controls.close().catch(() => undefined);
   }
 
-  // Status and control calls are idempotent. The second try runs on a new connection (the client
-  // drops its old ones after a failure), which tells a dead connection from a dead target.
+  // Status and control calls are idempotent. The client drops its connections after a failure, so
+  // the retry uses a new one. This distinguishes a dead connection from a dead target.
   private async send(
     target: TargetAddress,
     request: Omit<JsonRequest, 'timeoutMs'>,
--- a/src/targets/LeasedTargetPort.ts
+++ b/src/targets/LeasedTargetPort.ts
@@ -1,31 +1,31 @@
-/** Where a leased target listens, and which of its lifetimes is meant. */
+/** Address of a leased target, for one of its lifetimes. */
 export interface LeasedTargetAddress {
-  /** Id of the target's lifetime; a restart has another one. */
+  /** Id of the target's lifetime; it changes with each restart. */
   readonly targetId: string;
   readonly host: string;
   readonly port: number;
 }
 
-/** A start of a task on a target. */
+/** Request to start a task on a target. */
 export interface TaskStart {
   readonly taskName: string;
-  /** Number of the start; a target rejects one that is not higher than what it ended. */
+  /** Number of the start. A target rejects a number that is not above the highest it ended. */
   readonly run: number;
   readonly payload: string;
-  /** End of the target's lease, on the target's own clock. */
+  /** Time at which the target's lease ends, on the target's clock. */
   readonly leaseUntilTargetMs: number;
-  /** Term of the home; a target rejects lower terms than the highest it has seen. */
+  /** Term of the home; a target rejects terms below the highest it has seen. */
   readonly term: number;
   readonly checkpoint?: string | undefined;
-  /** Permission of the advice service, where the queue needs one. */
+  /** Permission from the advice service, if the queue requires one. */
   readonly ticket?: string | undefined;
 }
 
-/** Why a target refused a start without doing anything. */
+/** Reason for which a target refused a start without any effect. */
 export type StartRefusal =
   'stale-term' | 'stale-run' | 'lease-past' | 'no-room' | 'bad-ticket' | 'unhealthy' | 'malformed';
 
-/** Answer to a start. */
+/** Answer to a start request. */
 export type StartAnswer =
   | { readonly type: 'started'; readonly targetClockMs: number }
   | {
@@ -35,20 +35,20 @@
     }
   | { readonly type: 'other-lifetime' };
 
-/** Answer to a stop or a change of pace. */
+/** Answer to a stop request or a change of the pace. */
 export type OrderAnswer =
   | { readonly type: 'accepted' }
   | { readonly type: 'refused'; readonly reason: string }
   | { readonly type: 'other-lifetime' };
 
-/** A task that a target runs. */
+/** A task that is running on a target. */
 export interface RunningTaskReport {
   readonly taskName: string;
   readonly run: number;
   readonly checkpoint?: string | undefined;
-  /** Progress of a task with an end; 100 for a long-running one that is at work. */
+  /** Progress of a finite task; 100 for a long-running task that is working. */
   readonly progressPercent: number;
-  /** Tail latency of a serving task in milliseconds, or processor use of another in millicores. */
+  /** Tail latency of a serving task, in milliseconds, or CPU use of another, in millicores. */
   readonly loadFigure?: number | undefined;
 }
 
@@ -57,7 +57,7 @@
 
 /** A run that ended on a target. */
 export interface EndedTaskReport {
-  /** Number of the end within the target's lifetime. */
+  /** Sequence number of the end within the target's lifetime. */
   readonly endNumber: number;
   readonly taskName: string;
   readonly run: number;
@@ -65,18 +65,18 @@
   readonly checkpoint?: string | undefined;
 }
 
-/** Renewal of a target's lease, and the question what happens there. */
+/** Renews a target's lease and requests a report of its tasks. */
 export interface LeaseRenewal {
   readonly term: number;
-  /** Ends up to this number are stored and may be forgotten. */
+  /** Ends up to this number are stored, so the target may discard them. */
   readonly acknowledgedEndNumber: number;
-  /** New end of the lease on the target's clock; absent leaves it as it is. */
+  /** New end of the lease on the target's clock; if absent, the lease does not change. */
   readonly leaseUntilTargetMs?: number | undefined;
-  /** How long the target may wait for an end before it answers, in milliseconds. */
+  /** Longest time that the target waits for a run to end before it answers, in milliseconds. */
   readonly waitMs: number;
 }
 
-/** Answer to a renewal. */
+/** Answer to a lease renewal. */
 export type LeaseAnswer =
   | {
       readonly type: 'report';
@@ -88,7 +88,7 @@
   | { readonly type: 'other-lifetime' }
   | { readonly type: 'unhealthy' };
 
-/** An order for a leased target, or a renewal of its lease, as one value. */
+/** A command for a leased target, or a renewal of its lease, as a single value. */
 export type TargetCall =
   | { readonly type: 'start'; readonly start: TaskStart }
   | {
@@ -110,19 +110,19 @@
 export type TargetAnswer = StartAnswer | OrderAnswer | LeaseAnswer;
 
 /**
- * Targets that run tasks under a lease: without renewals everything that runs there is killed.
- * Each call throws where no answer came; the target may then have acted, or may act later.
+ * Calls targets that run tasks under a lease. A target kills all its tasks when its lease is not
+ * renewed. Each call throws if no answer arrives; the target may still have acted or act later.
  */
 export interface LeasedTargetPort {
   /**
-   * Starts a task; a repeat of the same run changes nothing.
+   * Starts a task. A repeated start of the same run has no effect.
    * @param target - The target.
    * @param start - The task.
    * @returns The target's answer.
    */
   start(target: LeasedTargetAddress, start: TaskStart): Promise<StartAnswer>;
   /**
-   * Stops a run; a start of it that arrives later is refused.
+   * Stops a run. The target refuses a start of this run that arrives later.
    * @param target - The target.
    * @param taskName - Name of the task.
    * @param run - Number of the run.
@@ -136,18 +136,18 @@
     term: number,
   ): Promise<OrderAnswer>;
   /**
-   * Renews the lease and reads what runs and what has ended.
+   * Renews the lease and reads the running and the ended tasks.
    * @param target - The target.
    * @param renewal - The renewal.
    * @returns The target's answer.
    */
   renew(target: LeasedTargetAddress, renewal: LeaseRenewal): Promise<LeaseAnswer>;
   /**
-   * Lets a best-effort task work at a share of its full speed.
+   * Sets the speed of a best-effort task.
    * @param target - The target.
    * @param taskName - Name of the task.
    * @param run - Number of the run.
-   * @param percent - Share in percent, 0 to 100.
+   * @param percent - Share of the full speed, in percent, 0 to 100.
    * @param term - Term of the home.
    * @returns The target's answer.
    */
--- a/src/targets/TargetPort.ts
+++ b/src/targets/TargetPort.ts
@@ -17,26 +17,26 @@
   readonly memoryMb: number;
   readonly contentType: string;
   readonly body: Buffer;
-  /** Whether to open a connection of its own, which no middlebox can have forgotten. */
+  /** Whether to open a new connection, whose state no middlebox can have dropped. */
   readonly freshConnection: boolean;
   /** Wall-clock time at which the target's lease for the task ends. */
   readonly leaseDeadlineMs: number;
-  /** Longest silence before the target counts as silent, in milliseconds. */
+  /** Time without data after which the target counts as silent, in milliseconds. */
   readonly silenceLimitMs: number;
   readonly signal?: AbortSignal;
 }
 
-/** How an attempt on a target ended, or began to answer. */
+/** Result of an attempt on a target: its failure, or the beginning of the answer. */
 export type TaskResult =
   | {
-      /** The answer has begun; the body errors when it ends early. */
+      /** The answer has begun. The body emits an error if the answer is truncated. */
       readonly type: 'answering';
       readonly httpStatus: number;
       readonly contentType: string;
       readonly body: Readable;
     }
   | {
-      /** The target said that it did not start the task, or no byte was sent to it. */
+      /** The target reported that it did not start the task, or no byte was sent to it. */
       readonly type: 'not-started';
       readonly reason: string;
     }
@@ -46,7 +46,7 @@
       readonly reason: 'silent' | 'connection-lost' | 'cancelled';
     };
 
-/** What a target says of itself; usage lags. */
+/** Status that a target reports. The usage figures lag behind. */
 export interface TargetStatus {
   readonly bootId: string;
   readonly draining: boolean;
@@ -55,29 +55,29 @@
   readonly usedMemoryMb: number;
 }
 
-/** Tasks on target VMs. */
+/** Runs and controls tasks on target VMs. */
 export interface TargetPort {
   /**
    * Starts a task and waits for its answer to begin.
-   * @param target - Where to.
-   * @param task - What to run.
-   * @returns How the attempt ended or began to answer; it never rejects.
+   * @param target - The target.
+   * @param task - The task to run.
+   * @returns The result of the attempt; the promise never rejects.
    */
   run(target: TargetAddress, task: TaskRequest): Promise<TaskResult>;
 
   /**
-   * Asks a target what it runs.
-   * @param target - Which one.
-   * @returns Its state, or undefined where it does not answer in time.
+   * Requests the status of a target.
+   * @param target - The target.
+   * @returns The status, or undefined if the target does not answer in time.
    */
   getStatus(target: TargetAddress): Promise<TargetStatus | undefined>;
 
   /**
    * Checkpoints, throttles or stops a task.
-   * @param target - Where it runs.
-   * @param taskId - Which task.
-   * @param action - What to do with it.
-   * @returns Whether the target confirmed it.
+   * @param target - The target that runs the task.
+   * @param taskId - Id of the task.
+   * @param action - The action.
+   * @returns Whether the target confirmed the action.
    */
   control(
     target: TargetAddress,
@@ -87,10 +87,10 @@
 
   /**
    * Renews the lease of a running task.
-   * @param target - Where it runs.
-   * @param taskId - Which task.
-   * @param leaseDeadlineMs - New wall-clock deadline.
-   * @returns Whether the target confirmed it.
+   * @param target - The target that runs the task.
+   * @param taskId - Id of the task.
+   * @param leaseDeadlineMs - New wall-clock deadline, in milliseconds.
+   * @returns Whether the target confirmed the renewal.
    */
   renewLease(target: TargetAddress, taskId: string, leaseDeadlineMs: number): Promise<boolean>;
 }
--- a/src/targets/TaskExchange.ts
+++ b/src/targets/TaskExchange.ts
@@ -17,26 +17,26 @@
 export interface TaskExchangeOptions {
   /** Longest wait for a connection, in milliseconds. */
   readonly connectTimeoutMs: number;
-  /** Longest silence of the target once the request may have left, in milliseconds. */
+  /** Longest silence of the target after the request may have been sent, in milliseconds. */
   readonly silenceLimitMs: number;
-  /** Called once when the target was silent for too long. */
+  /** Called once when a silence limit expires. */
   readonly onSilent: () => void;
-  /** Called once when nothing more will happen. */
+  /** Called once when the exchange has ended. */
   readonly onEnded: () => void;
 }
 
 /**
- * How far an exchange is: no byte of the request has left, some may have, the answer has begun,
- * the rest of the answer is skipped, or all is over.
+ * State of an exchange: no byte of the request has been sent, some may have been sent, the answer
+ * has begun, the rest of the answer is discarded, or the exchange has ended.
  */
 type Phase = 'connecting' | 'sent' | 'answering' | 'skipping' | 'ended';
 
 /**
- * One task's request and answer, which knows at each moment whether the task can have started.
+ * Request and answer of one task. It tracks whether the task may have started.
  * @internal
  */
 export class TaskExchange implements Dispatcher.DispatchHandler {
-  /** How the attempt ended or began to answer; it never rejects. */
+  /** Result of the attempt; the promise never rejects. */
   readonly result: Promise<TaskResult>;
 
   private readonly options: TaskExchangeOptions;
@@ -55,7 +55,7 @@
 
   /**
    * Creates an exchange that waits for its connection.
-   * @param options - Limits, and whom to tell.
+   * @param options - Limits and callbacks.
    */
   constructor(options: TaskExchangeOptions) {
     this.options = options;
@@ -68,8 +68,8 @@
   }
 
   /**
-   * Gives up on the exchange for its caller.
-   * @returns Whether the request may have left, so that the task has to be stopped.
+   * Cancels the exchange on behalf of its caller.
+   * @returns Whether the request may have been sent, in which case the task has to be stopped.
    */
   cancel(): boolean {
     const mayRun = this.phase === 'sent' || this.phase === 'answering';
@@ -78,16 +78,16 @@
   }
 
   /**
-   * Learns that the request is about to be written.
+   * Called by undici immediately before it writes the request.
    * @param controller - Control over the request.
    */
   onRequestStart(controller: Controller): void {
-    // The library calls this immediately before the first byte, and again where it would repeat
-    // a request by itself. A request that was given up or sent once must not leave (again):
-    // an abort from here keeps every byte back, which makes `not-started` true for the former.
+    // undici calls this again when it is about to retry a request on its own. A request that was
+    // cancelled or already sent must not be sent (again). An abort at this point prevents any byte
+    // from being sent, so `not-started` is correct for a cancelled request.
     if (this.phase !== 'connecting') {
       this.fail('connection-lost', 'The connection was lost.');
-      controller.abort(new Error('not to be sent'));
+      controller.abort(new Error('The request was cancelled or has already been sent.'));
       return;
     }
     this.controller = controller;
@@ -96,7 +96,7 @@
   }
 
   /**
-   * Receives the head of an answer, or of an interim one, which only shows progress.
+   * Receives the head of a final answer, or of an interim one, which only restarts the timer.
    * @param _controller - Control over the request.
    * @param httpStatus - Status of the answer.
    * @param headers - Headers of the answer.
@@ -121,24 +121,24 @@
   }
 
   /**
-   * Receives a part of the answer.
+   * Receives a chunk of the answer.
    * @param controller - Control over the request.
-   * @param chunk - The part.
+   * @param chunk - The chunk.
    */
   onResponseData(controller: Controller, chunk: Buffer): void {
     this.watch(this.options.silenceLimitMs);
     if (this.phase !== 'answering') return;
     if (this.body!.push(chunk)) return;
-    // The reader is slow: that is not the target's silence, so the watch rests until it reads on.
+    // A slow reader is not a silent target, so the timer stops until the reader continues.
     clearTimeout(this.timer);
     controller.pause();
   }
 
-  /** Learns that the answer has arrived whole. */
+  /** Called by undici when the answer has ended. */
   onResponseEnd(): void {
     if (this.phase === 'answering' && this.endsOnlyByClose) {
-      // Guards against an answer cut off by a dying target or middlebox: without a declared
-      // length its end looks like any other, so such an answer never counts as whole.
+      // Guards against an answer truncated by a failing target or middlebox. Without a declared
+      // length, truncation looks like a normal end, so such an answer never counts as complete.
       this.fail('connection-lost', 'The answer ended without a declared length.');
       return;
     }
@@ -147,9 +147,9 @@
   }
 
   /**
-   * Learns that the exchange failed.
+   * Called by undici when the exchange has failed.
    * @param _controller - Control over the request.
-   * @param error - What happened.
+   * @param error - The cause.
    */
   onResponseError(_controller: Controller | undefined, error: Error): void {
     this.fail('connection-lost', error.message);
@@ -169,7 +169,7 @@
         done(error);
       },
     });
-    // An answer may break off before its reader listens; the stream keeps the error for it.
+    // An answer may fail before its reader listens; the stream keeps the error for the reader.
     body.on('error', () => undefined);
     this.body = body;
     const contentType = String(headers['content-type'] ?? 'application/octet-stream');
@@ -221,12 +221,12 @@
     }
   }
 
-  /** Breaks the exchange off when the reader of its answer has gone. */
+  /** Aborts the exchange when the reader has closed the body. */
   private abandon(): void {
     if (this.phase !== 'answering') return;
     const { controller } = this;
     this.end();
-    controller?.abort(new Error('The reader of the answer has gone.'));
+    controller?.abort(new Error('The reader of the answer closed the body.'));
   }
 
   private end(): void {
--- a/src/targets/callTarget.ts
+++ b/src/targets/callTarget.ts
@@ -7,11 +7,11 @@
 } from './LeasedTargetPort.js';
 
 /**
- * Makes a call that is given as one value.
- * @param port - The targets.
- * @param target - Which target.
- * @param call - What to ask of it.
- * @returns The target's answer; rejects where none came.
+ * Calls the port's method that corresponds to a call value.
+ * @param port - Port to the targets.
+ * @param target - The target.
+ * @param call - The call.
+ * @returns The target's answer; the promise rejects if none arrives.
  */
 export function callTarget(
   port: LeasedTargetPort,
--- a/src/targets/targetCallSchemas.ts
+++ b/src/targets/targetCallSchemas.ts
@@ -3,7 +3,7 @@
 const name = z.string();
 const number = z.number();
 
-/** Schema of a call to a target that travels between instances. */
+/** Schema of a target call that one instance sends to another. */
 export const targetCallSchema = z.discriminatedUnion('type', [
   z.looseObject({
     type: z.literal('start'),
@@ -52,7 +52,7 @@
   checkpoint: name.optional(),
 });
 
-/** Schema of a target's answer that travels between instances. */
+/** Schema of a target's answer that one instance sends to another. */
 export const targetAnswerSchema = z.discriminatedUnion('type', [
   z.looseObject({ type: z.literal('started'), targetClockMs: number }),
   z.looseObject({ type: z.literal('accepted') }),
--- a/src/targets/taskHeaders.ts
+++ b/src/targets/taskHeaders.ts
@@ -1,4 +1,4 @@
-/** Headers of the exchanges with a target. */
+/** Names of the HTTP headers in exchanges with a target. */
 export const TASK_HEADERS = {
   taskId: 'x-task-id',
   requestId: 'x-request-id',
@@ -7,9 +7,9 @@
   memoryMb: 'x-memory-mb',
   /** Wall-clock time at which the target stops the task unless the lease is renewed. */
   leaseDeadlineMs: 'x-lease-deadline-ms',
-  /** In an answer: what became of a task that has no answer of its own. */
+  /** In an answer: outcome of a task that produced no answer of its own. */
   outcome: 'x-task-outcome',
-  /** In an answer: why. */
+  /** In an answer: reason for the outcome. */
   reason: 'x-task-reason',
 } as const;
 
@@ -17,6 +17,6 @@
 export const TASK_OUTCOMES = {
   /** The target did not start the task; with status 503. */
   notStarted: 'not-started',
-  /** The target stopped the task before its end, by order or because its lease lapsed. */
+  /** The target stopped the task early, on request or because its lease lapsed. */
   stopped: 'stopped',
 } as const;
--- a/tests/targets/HttpTargetPort.test.ts
+++ b/tests/targets/HttpTargetPort.test.ts
@@ -83,26 +83,26 @@
   it('passes a failed task on as its answer', () =>
     doTest({ failing: true }, { type: 'answering', httpStatus: 500 }));
 
-  // A VM is down. The caller's job may go elsewhere, since a refused connection proves that no
-  // byte of the request has left.
-  it('tells not-started where the connection is refused', () =>
+  // A VM is down. The job may run elsewhere, because a refused connection proves that no byte of
+  // the request was sent.
+  it('reports not-started if the connection is refused', () =>
     doTest({ crashed: true }, { type: 'not-started' }));
 
-  // The platform drains a VM while a grant for it is under way. The target refuses the task and
-  // says so; the caller's job may go elsewhere.
-  it('tells not-started where the target says so', async () => {
+  // The platform drains a VM while a grant for it is in transit. The target reports that it refused
+  // the task, so the job may run elsewhere.
+  it('reports not-started if the target reports it', async () => {
     targets.setDraining(VM, true);
     await doTest({}, { type: 'not-started', reason: 'draining' });
     expect(targets.listStarts()).toEqual([]);
   });
 
-  // A field crew saves a page, the target takes the request and never says a word. It may have
-  // run, so nobody may be told that it did not.
-  it('tells unknown where the target is silent after the request has left', () =>
+  // The target accepts the request of a field crew's page save and never answers. The task may have
+  // run, so it must not be reported as not started.
+  it('reports unknown if the target is silent after the request was sent', () =>
     doTest({ silent: true }, { type: 'unknown', reason: 'silent' }));
 
   // A VM reboots under a running task: the connection breaks before any answer.
-  it('tells unknown where the connection breaks after the request has left', async () => {
+  it('reports unknown if the connection breaks after the request was sent', async () => {
     const answer = port.run(address, makeTask({ body: Buffer.from(`{"runMs":${LONG_RUN_MS}}`) }));
     await expect.poll(listEndings).toEqual(['running']);
     forwarder.cutAll();
@@ -110,29 +110,30 @@
     expect(listEndings()).toEqual(['running']);
   });
 
-  // A target dies in the middle of an answer. The caller must see the answer break off; half a
-  // committee pack that looks whole would be read out in the meeting.
-  it('errors the body where the answer is cut in the middle', async () => {
+  // A target fails in the middle of an answer. The caller must see an error; otherwise a truncated
+  // committee pack would look complete and be read out in the meeting.
+  it('emits an error on the body if the answer is truncated', async () => {
     await targets.setFaults(VM, { cutAnswers: true });
     await expect(readAnswer(makeTask())).rejects.toMatchObject({ kind: 'answer-cut' });
   });
 
-  // A middlebox forgets an idle connection; requests on it get no answer, while a new one works.
-  // The silent request stays unknown, but the next one must not meet another forgotten connection.
+  // A middlebox drops the state of idle connections: requests on them get no answer, while a new
+  // connection works. The first request stays unknown, but the next one must not use another dead
+  // connection.
   it('does not use old connections again after one went silent', async () => {
     await Promise.all([readAnswer(makeTask()), readAnswer(makeTask())]);
-    await nextTurn(); // The pool takes its connections back.
+    await nextTurn(); // Lets the pool release its connections.
     forwarder.silenceOpen();
     const results = [await port.run(address, makeTask()), await port.run(address, makeTask())];
     expect(results.map((result) => result.type)).toEqual(['unknown', 'answering']);
     expect(targets.listStarts()).toHaveLength(3);
   });
 
-  // The same middlebox, but the job is a donation receipt: it must not be sent on a connection
-  // that may have been forgotten, as its outcome would stay unknown.
-  it('opens a connection of its own where asked to', async () => {
+  // The same middlebox fault, but the job is a donation receipt. It must not be sent on a
+  // connection that may be dead, because its outcome would stay unknown.
+  it('opens a new connection if the task asks for one', async () => {
     await readAnswer(makeTask());
-    await nextTurn(); // The pool takes its connection back.
+    await nextTurn(); // Lets the pool release its connection.
     forwarder.silenceOpen();
     const answer = await readAnswer(makeTask({ freshConnection: true }));
     expect(JSON.parse(answer)).toMatchObject({ requestId: 'request-2' });
@@ -152,8 +153,8 @@
     expect(result.type).toBe('answering');
   });
 
-  // A caller cancels before the request has left: nothing may reach the target afterwards.
-  it('tells not-started where it is cancelled before it was sent', async () => {
+  // A caller cancels before the request is sent. Nothing may reach the target afterwards.
+  it('reports not-started if the task is cancelled before it is sent', async () => {
     const abort = new AbortController();
     const answer = port.run(address, makeTask({ signal: abort.signal }));
     abort.abort();
@@ -162,7 +163,7 @@
     expect(targets.listStarts().map((start) => start.requestId)).toEqual(['request-2']);
   });
 
-  // A caller cancels a running job: the answer is unknown at once and the slot gets free.
+  // A caller cancels a running job. The result is unknown at once, and the slot becomes free.
   it('stops the task where it is cancelled after it was sent', async () => {
     const abort = new AbortController();
     const body = Buffer.from(`{"runMs":${LONG_RUN_MS}}`);
@@ -173,7 +174,7 @@
     await expect.poll(listEndings).toEqual(['stopped']);
   });
 
-  describe('against a target of another make', () => {
+  describe('against another implementation of a target', () => {
     let server: Server;
     afterEach(() => {
       server.close();
@@ -193,14 +194,14 @@
       return result.body;
     }
 
-    // A dying target closes the connection in an answer that has neither length nor chunks. Its
-    // end looks the same as that of a whole answer, so it never counts as one.
-    it('errors the body of an answer without a declared length', async () => {
+    // A failing target closes the connection during an answer that has neither a content length nor
+    // chunked encoding. Truncation looks like a normal end, so the answer never counts as complete.
+    it('emits an error on the body of an answer without a declared length', async () => {
       const body = await runAgainst('HTTP/1.1 200 OK\r\nconnection: close\r\n\r\nhalf');
       await expect(text(body)).rejects.toMatchObject({ kind: 'answer-cut' });
     });
 
-    it('errors the body where chunks end early', async () => {
+    it('emits an error on the body if chunked encoding ends early', async () => {
       const body = await runAgainst(
         'HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n',
       );
@@ -216,7 +217,7 @@
     await expect.poll(listEndings).toEqual(['running']);
   }
 
-  it('stops a running task and tells of an unknown one', async () => {
+  it('stops a running task and does not confirm a stop of an unknown one', async () => {
     await startLongTask();
     expect(await port.control(address, 'task-1', 'stop')).toBe(true);
     expect(await port.control(address, 'task-1', 'stop')).toBe(false);
@@ -229,8 +230,8 @@
     expect(await port.getStatus(address)).toMatchObject({ usedCoreCount: 0.25 });
   });
 
-  // A renewal goes out on a connection that a middlebox has forgotten. Without a second try on a
-  // new one the lease would lapse and the target would stop a healthy task.
+  // A renewal is sent on a connection whose state a middlebox has dropped. Without a retry on a new
+  // connection, the lease would lapse and the target would stop a healthy task.
   it('renews a lease past a connection that went silent', async () => {
     await startLongTask();
     await port.getStatus(address);
@@ -246,7 +247,7 @@
 });
 
 describe('getStatus', () => {
-  it('tells nothing of a target that is down', async () => {
+  it('returns undefined for a target that is down', async () => {
     await targets.setFaults(VM, { crashed: true });
     expect(await port.getStatus(address)).toBeUndefined();
   });
