--- a/src/store/GroupPort.ts
+++ b/src/store/GroupPort.ts
@@ -1,55 +1,55 @@
-/** A member's part of a group at one generation. */
+/** Partitions that a group assigns to one member in one generation. */
 export interface GroupShare {
-  /** Grows with each change of the group. */
+  /** Increases with each change of the group. */
   readonly generation: number;
-  /** Partitions that belong to the member. */
+  /** Partitions that are assigned to the member. */
   readonly partitions: readonly number[];
 }
 
-/** Which member holds a partition. */
+/** Member that holds a partition. */
 export interface PartitionOwner {
   readonly partition: number;
   readonly member: string;
 }
 
-/** Joins a group, or renews the membership. */
+/** Request to join a group or to renew a membership. */
 export interface JoinRequest {
   readonly group: string;
   readonly member: string;
   readonly topic: string;
-  /** Silence after which the member loses its partitions, in milliseconds. */
+  /** Time without a renewal after which the member loses its partitions, in milliseconds. */
   readonly ttlMs: number;
-  /** Generation of the share that the member acts on; 0 before the first one. */
+  /** Generation of the share that the member uses; 0 before the first one. */
   readonly generation: number;
   /** Longest wait for the answer, in milliseconds. */
   readonly timeoutMs: number;
 }
 
 /**
- * Groups of the platform's log, which share out the partitions of a topic evenly among their
- * members. A partition that a member loses goes to another one once the member has joined with
- * the new generation, has left, or has been silent for its time to live.
+ * Groups of the platform's log. A group distributes the partitions of a topic evenly among its
+ * members. A partition that a member loses is reassigned once the member has joined with the new
+ * generation, has left, or has not renewed its membership within its time to live.
  */
 export interface GroupPort {
   /**
-   * Joins a group or keeps the membership.
-   * @param request - Who joins what.
+   * Joins a group or renews the membership.
+   * @param request - Group, member and topic.
    * @returns The member's share.
-   * @throws Error Without an answer, or where the store rejects the call.
+   * @throws Error If no answer arrives or the store rejects the call.
    */
   join(request: JoinRequest): Promise<GroupShare>;
   /**
-   * Leaves a group; its partitions go to others at once.
+   * Leaves a group. The member's partitions are reassigned at once.
    * @param group - Name of the group.
    * @param member - Name of the member.
-   * @throws Error Without an answer.
+   * @throws Error If no answer arrives.
    */
   leave(group: string, member: string): Promise<void>;
   /**
-   * Lists which member holds which partition.
+   * Lists the owners of the partitions.
    * @param group - Name of the group.
-   * @returns The owners; a partition between two owners is absent.
-   * @throws Error Without an answer.
+   * @returns The owners; a partition that is being reassigned is absent.
+   * @throws Error If no answer arrives.
    */
   listOwners(group: string): Promise<readonly PartitionOwner[]>;
 }
--- a/src/store/KeyedFollower.ts
+++ b/src/store/KeyedFollower.ts
@@ -5,66 +5,67 @@
   readonly store: Pick<KeyedLogPort, 'readNewest' | 'readFrom'>;
   readonly topic: string;
   readonly partition: number;
-  /** Takes each change of a key, in order; a record without a value drops its key. */
+  /** Receives each change of a key, in order; a record without a value deletes its key. */
   readonly onRecord: (record: KeyedRecord) => void;
-  /** Changes from which on a follower that is behind reads everything anew. */
+  /** Number of unread changes above which the follower reloads the whole partition. */
   readonly maxBehindCount?: number;
 }
 
 /**
- * Changes from which on a follower that is behind reads everything anew: four answers. Targets
- * report every 1.5 s, so after a minute 350 of them have written 14,000 records, which take seconds
- * on a narrow link while a partition waits for its home.
+ * Number of unread changes above which a follower reloads the whole partition: four answers.
+ * Targets report every 1.5 s, so 350 targets write 14,000 records in a minute. Reading them takes
+ * seconds on a slow link, while a partition waits for its home.
  */
 const DEFAULT_MAX_BEHIND_COUNT = 4_096;
 
-/** A reading of everything that is not at its end. */
+/** Progress of an unfinished reload of the whole partition. */
 interface Reload {
-  /** End of the partition before the first page; what came later is read again from here. */
+  /** End of the partition before the first page; later changes are read from this offset. */
   readonly endOffset: number;
   readonly records: readonly KeyedRecord[];
   readonly afterKey: string | undefined;
 }
 
-/** Follows the newest record of each key of a partition. */
+/** Follows a partition and reports changes of the newest record of each key. */
 export class KeyedFollower {
   private readonly options: KeyedFollowerOptions;
 
   private nextOffset: number | undefined;
 
-  /** Pages that an attempt has read which did not come to their end. */
+  /** Pages that an unfinished reload has read. */
   private reload: Reload | undefined;
 
   private readonly keys = new Set<string>();
 
   /**
    * Creates a follower that has read nothing.
-   * @param options - What to follow, and who takes the changes.
+   * @param options - The partition to follow and the receiver of its changes.
    */
   constructor(options: KeyedFollowerOptions) {
     this.options = options;
   }
 
-  /** Offset up to which every change has been taken; undefined before everything was read once. */
+  /** Offset up to which all changes are processed; undefined before the first full read. */
   get endOffset(): number | undefined {
     return this.nextOffset;
   }
 
   /**
-   * Reads what has changed since the last call: everything at first, and after a gap.
+   * Reads the changes since the last call. The first call, and a call after a gap, reads the whole
+   * partition.
    *
-   * Guards against entries that are behind: one answer holds a limited number of changes, so a
-   * follower that has not read for long goes on until it has met the end.
-   * @param waitMs - How long the store may wait for a change, in milliseconds.
-   * @throws Error Where the store did not answer; the next call continues where this one ended.
+   * Guards against entries that lag behind: an answer holds a limited number of changes, so a
+   * follower that has not read for a long time continues until it reaches the end.
+   * @param waitMs - Longest time that the store may wait for a change, in milliseconds.
+   * @throws Error If the store does not answer; the next call continues where this one stopped.
    */
   async read(waitMs: number): Promise<void> {
     let hasMore = await this.readOnce(waitMs);
-    // eslint-disable-next-line no-await-in-loop -- an answer tells where the next one begins
+    // eslint-disable-next-line no-await-in-loop -- each answer gives the offset of the next one
     while (hasMore) hasMore = await this.readOnce(0);
   }
 
-  /** Reads one answer's worth of changes; tells whether there are more at this moment. */
+  /** Reads the changes of one answer; returns whether more are available now. */
   private async readOnce(waitMs: number): Promise<boolean> {
     const { store, topic, partition, maxBehindCount } = this.options;
     const fromOffset = this.nextOffset;
@@ -80,7 +81,7 @@
     }
     result.records.forEach((record) => this.take(record));
     this.nextOffset = Math.max(fromOffset, result.nextOffset);
-    // The newest records are far fewer than all that were written meanwhile.
+    // A reload is shorter: the newest records are far fewer than the unread changes.
     if (result.endOffset - this.nextOffset > (maxBehindCount ?? DEFAULT_MAX_BEHIND_COUNT)) {
       this.nextOffset = undefined;
       return true;
@@ -89,17 +90,17 @@
   }
 
   /**
-   * Reads everything, page by page. Records that were dropped from the history took changes with
-   * them that this follower has not seen, so keys that are no longer there count as dropped.
+   * Reads the whole partition, page by page. Expired records may include deletions that this
+   * follower has not seen, so keys that are absent from the pages are reported as deleted.
    *
-   * Guards against a reading that never ends: where one page in several fails, an attempt from the
-   * first page on would fail as well, again and again. Pages that were read are kept; what changes
-   * meanwhile is read from the end that the first page told.
+   * Guards against a reload that never finishes: if one page in several fails, every attempt that
+   * starts from the first page fails as well. Pages that were read are therefore kept. Changes that
+   * happen meanwhile are read from the end offset that the first page reported.
    */
   private async readAll(): Promise<void> {
     let isWhole = false;
     while (!isWhole) {
-      // eslint-disable-next-line no-await-in-loop -- a page tells where the next one begins
+      // eslint-disable-next-line no-await-in-loop -- each page gives the start of the next one
       isWhole = await this.readPage();
     }
     const { records, endOffset } = this.reload!;
@@ -112,7 +113,7 @@
     this.nextOffset = endOffset;
   }
 
-  /** Reads the next page; tells whether it was the last. */
+  /** Reads the next page; returns whether it is the last one. */
   private async readPage(): Promise<boolean> {
     const { store, topic, partition } = this.options;
     const page = await store.readNewest(topic, partition, this.reload?.afterKey);
--- a/src/store/recordValue.ts
+++ b/src/store/recordValue.ts
@@ -4,20 +4,20 @@
 import type { KeyedRecord } from './KeyedLogPort.js';
 
 /**
- * Encodes the value of a record of the project's own.
+ * Encodes the value of a record that this project writes.
  * @param value - The content.
- * @returns Its bytes.
+ * @returns The encoded bytes.
  */
 export function encodeRecordValue(value: unknown): Uint8Array {
   return cborCodec.encode(value);
 }
 
 /**
- * Decodes the value of a record of the project's own.
- * @param schema - What the record has to hold.
- * @param record - The record; it has a value.
- * @returns The checked content.
- * @throws RattanliftError Of kind `internal` where the value does not fit.
+ * Decodes the value of a record that this project writes.
+ * @param schema - Schema of the content.
+ * @param record - The record; it must have a value.
+ * @returns The validated content.
+ * @throws RattanliftError Of kind `internal` if the value does not match the schema.
  */
 export function decodeRecordValue<Schema extends z.ZodType>(
   schema: Schema,
@@ -29,12 +29,12 @@
 }
 
 /**
- * Decodes a record where it is of one kind of the project's own, told by its key.
- * @param prefix - What the keys of the kind begin with.
- * @param schema - What a record of the kind has to hold.
+ * Decodes a record if it is of a given kind, which the prefix of its key identifies.
+ * @param prefix - Key prefix of the kind.
+ * @param schema - Schema of the content.
  * @param record - The record.
- * @returns The checked content, or undefined where the record is of another kind or removed.
- * @throws RattanliftError Of kind `internal` where the value does not fit.
+ * @returns The validated content, or undefined if the record is of another kind or deleted.
+ * @throws RattanliftError Of kind `internal` if the value does not match the schema.
  */
 export function decodeRecordOf<Schema extends z.ZodType>(
   prefix: string,
--- a/tests/store/KeyedFollower.test.ts
+++ b/tests/store/KeyedFollower.test.ts
@@ -4,11 +4,11 @@
 
 const PAGE_SIZE = 2;
 
-/** A store whose newest records come in pages, of which each is lost at its first request. */
+/** A store that serves its newest records in pages; the first request for each page fails. */
 class PagedStore implements Pick<KeyedLogPort, 'readNewest' | 'readFrom'> {
   readonly whole = new StoreStandIn({ partitionCount: 1 });
 
-  /** Keys after which pages were asked for, in order; the first page has none. */
+  /** `afterKey` of each requested page, in order; undefined for the first page. */
   readonly asked: (string | undefined)[] = [];
 
   readonly readFrom = this.whole.readFrom.bind(this.whole);
@@ -34,9 +34,9 @@
   }
 }
 
-// A partition of several pages was never read to its end: where the store lost one answer in three,
-// each attempt lost one of its pages and the next one began with the first page.
-it('continues a reading of everything with the page that was lost', async () => {
+// Guards against a partition of several pages that is never read completely: if the store loses one
+// answer in three, each attempt loses a page, and the next attempt restarts from the first page.
+it('resumes a reload with the page that was lost', async () => {
   const store = new PagedStore();
   await store.append('a', 'b', 'c', 'd', 'e');
   const taken = new Map<string, KeyedRecord>();
@@ -57,9 +57,9 @@
   expect(follower.endOffset).toBe(7);
 });
 
-// A partition waited for its home for seconds: the instance had followed no list of targets for a
-// minute, and read 14,000 reports one after the other, of which 350 were the newest.
-it('reads the newest records anew where it is far behind', async () => {
+// Guards against a partition that waits seconds for its home: an instance that has not followed the
+// list of targets for a minute reads 14,000 reports, though only the newest 350 are needed.
+it('reloads the newest records when it is far behind', async () => {
   const store = new StoreStandIn({ partitionCount: 1, maxReadCount: 1_000 });
   const append = (count: number) =>
     store.append({
