--- a/src/peers/FrameDecoder.ts
+++ b/src/peers/FrameDecoder.ts
@@ -2,7 +2,7 @@
 import { decodeFrame, FRAME_HEADER_BYTES, MAX_FRAME_BYTES } from './frameCodec.js';
 import type { PeerFrame } from './PeerFrame.js';
 
-/** Reads how many bytes the next frame takes with its header, or the header's where unknown. */
+/** Returns the size of the next frame with its header, or the header's size if incomplete. */
 function getNeededBytes(bytes: Buffer, position: number): number {
   if (bytes.length - position < FRAME_HEADER_BYTES) return FRAME_HEADER_BYTES;
   const payloadBytes = bytes.readUInt32BE(position);
@@ -13,7 +13,7 @@
 }
 
 /**
- * Cuts the bytes of a connection into frames.
+ * Splits the bytes of a connection into frames.
  * @internal
  */
 export class FrameDecoder {
@@ -21,14 +21,14 @@
 
   private bufferedBytes = 0;
 
-  /** Bytes that have to be there before the next look at them is worth a copy. */
+  /** Number of bytes that the next frame needs; with fewer, chunks are not concatenated. */
   private neededBytes = FRAME_HEADER_BYTES;
 
   /**
-   * Takes the next bytes.
-   * @param chunk - Bytes as they arrived.
-   * @returns The frames that they complete.
-   * @throws RattanliftError Of kind `bad-request` where the bytes are no frames.
+   * Adds received bytes.
+   * @param chunk - The received bytes.
+   * @returns The frames that the bytes complete.
+   * @throws RattanliftError Of kind `bad-request` if the bytes are not valid frames.
    */
   push(chunk: Buffer): readonly PeerFrame[] {
     this.chunks.push(chunk);
--- a/src/peers/HeartbeatOptions.ts
+++ b/src/peers/HeartbeatOptions.ts
@@ -1,10 +1,10 @@
-/** How a connection finds out that its other end is out of reach. */
+/** Options with which a connection detects that its peer is unreachable. */
 export interface HeartbeatOptions {
-  /** Time between two looks at a connection, in milliseconds. */
+  /** Interval between two heartbeats of a connection, in milliseconds. */
   readonly heartbeatMs: number;
-  /** Looks in a row without a byte received after which the connection is dropped. */
+  /** Number of consecutive heartbeats without received data that closes the connection. */
   readonly silentHeartbeatLimit: number;
 }
 
-/** A ping each idle second, and a drop after three silent ones. */
+/** Pings a peer after each second without data, and closes the connection after three. */
 export const DEFAULT_HEARTBEAT: HeartbeatOptions = { heartbeatMs: 1000, silentHeartbeatLimit: 3 };
--- a/src/peers/PeerClient.ts
+++ b/src/peers/PeerClient.ts
@@ -6,7 +6,7 @@
 import { PeerLink, type ReopenOptions } from './PeerLink.js';
 import type { PeerAddress, PeerPort, PeerReply, PeerRequest } from './PeerMessage.js';
 
-/** Links above which those of instances that are gone are forgotten. */
+/** Number of links from which on idle links, such as those of gone instances, are removed. */
 const MAX_IDLE_LINKS = 64;
 
 const DEFAULT_REOPEN: ReopenOptions = { reopenMinMs: 50, reopenMaxMs: 1000 };
@@ -34,7 +34,7 @@
 
   /**
    * Creates a client without connections.
-   * @param options - Who calls, and how connections are watched.
+   * @param options - The calling instance and the connection settings.
    */
   constructor(options: PeerClientOptions) {
     this.options = options;
--- a/src/peers/PeerConnection.ts
+++ b/src/peers/PeerConnection.ts
@@ -4,11 +4,11 @@
 import type { HeartbeatOptions } from './HeartbeatOptions.js';
 import type { PeerFrame } from './PeerFrame.js';
 
-/** Bytes that may wait for a slow peer before its connection is given up. */
+/** Maximum number of unsent bytes; a connection to a slower peer is closed. */
 const MAX_BUFFERED_BYTES = 64 * 1024 * 1024;
 
 /**
- * Why a connection is gone: it was lost or ended, or the other end broke the protocol.
+ * Reason for which a connection is closed: it was lost or ended, or the peer broke the protocol.
  * @internal
  */
 export interface ConnectionClosure {
@@ -23,14 +23,14 @@
 export interface PeerConnectionOptions {
   readonly socket: Socket;
   readonly heartbeat: HeartbeatOptions;
-  /** Receives each frame but pings and pongs; what it throws closes the connection. */
+  /** Receives each frame except pings and pongs; an error that it throws closes the connection. */
   readonly onFrame: (frame: PeerFrame) => void;
-  /** Learns once that the connection is gone. */
+  /** Called once when the connection is closed. */
   readonly onClosed: (closure: ConnectionClosure) => void;
 }
 
 /**
- * One TCP connection between two instances, the same at both ends.
+ * A TCP connection between two instances. Both ends use this class.
  * @internal
  */
 export class PeerConnection {
@@ -51,8 +51,8 @@
   private isCorked = false;
 
   /**
-   * Takes over a socket that is connected or connecting.
-   * @param options - The socket and what to do with its frames.
+   * Takes ownership of a connected or connecting socket.
+   * @param options - The socket, the heartbeat settings and the callbacks.
    */
   constructor(options: PeerConnectionOptions) {
     this.options = options;
@@ -65,7 +65,7 @@
   }
 
   /**
-   * Makes a number for a hello or a ping of this end.
+   * Allocates a number for a hello or a ping of this end.
    * @returns The number.
    */
   takeNumber(): number {
@@ -76,7 +76,7 @@
   /**
    * Sends a frame.
    * @param frame - The frame.
-   * @throws RattanliftError Of kind `internal` where the frame is too large.
+   * @throws RattanliftError Of kind `internal` if the frame is too large.
    */
   send(frame: PeerFrame): void {
     const { socket } = this.options;
@@ -86,19 +86,19 @@
     if (socket.writableLength > MAX_BUFFERED_BYTES) this.close('the peer reads too slowly');
   }
 
-  /** Count of the times that bytes have come; one that stays shows that the peer is silent. */
+  /** Number of received chunks; a silent peer does not increase it. */
   get arrivalCount(): number {
     return this.receivedCount;
   }
 
-  /** Asks the peer for a sign of life. */
+  /** Sends a ping, which the peer answers with a pong. */
   ping(): void {
     this.send({ kind: 'ping', number: this.takeNumber() });
   }
 
   /**
-   * Breaks the connection off.
-   * @param reason - Why, for the log line; the first one counts.
+   * Closes the connection at once.
+   * @param reason - Reason for the log line; only the first reason is kept.
    */
   close(reason: string): void {
     this.closure ??= { type: 'lost', reason };
@@ -106,8 +106,8 @@
   }
 
   /**
-   * Breaks the connection off because the other end broke the protocol.
-   * @param reason - What it did, for the log line.
+   * Closes the connection at once because the peer broke the protocol.
+   * @param reason - The violation, for the log line.
    */
   reject(reason: string): void {
     this.closure ??= { type: 'rejected', reason };
@@ -115,15 +115,15 @@
   }
 
   /**
-   * Closes the connection after what was written has left.
-   * @param reason - Why, for the log line.
+   * Closes the connection after the written data has been sent.
+   * @param reason - Reason for the log line.
    */
   closeAfterWrites(reason: string): void {
     this.closure ??= { type: 'lost', reason };
     this.options.socket.destroySoon();
   }
 
-  /** Lets the frames of one turn leave in one write; a home starts tens of tasks in a turn. */
+  /** Batches the frames of an event loop turn: a home starts tens of tasks in one turn. */
   private corkForTurn(): void {
     const { socket } = this.options;
     if (this.isCorked) return;
@@ -137,7 +137,9 @@
 
   private finish(): void {
     clearInterval(this.heartbeat);
-    this.options.onClosed(this.closure ?? { type: 'lost', reason: 'the peer closed it' });
+    this.options.onClosed(
+      this.closure ?? { type: 'lost', reason: 'the peer closed the connection' },
+    );
   }
 
   private receive(chunk: Buffer): void {
@@ -157,10 +159,10 @@
   }
 
   /**
-   * Guards against a connection that a middlebox has forgotten: bytes vanish and no reset comes,
-   * so calls would wait for their whole time while a new connection would work. Both ends ping
-   * when they hear nothing, so only a broken path stays silent. Heartbeats are counted rather than
-   * timed: a process that was frozen finds one late heartbeat, not three missed ones.
+   * Guards against a connection whose state a middlebox has dropped: bytes are lost without a
+   * reset, so calls would wait until they time out, while a new connection would work. Both ends
+   * ping when they receive nothing, so only a broken path stays silent. Heartbeats are counted
+   * rather than timed: a process that was suspended sees one late heartbeat, not three missed ones.
    */
   private beat(): void {
     const { socket, heartbeat } = this.options;
--- a/src/peers/PeerFrame.ts
+++ b/src/peers/PeerFrame.ts
@@ -3,7 +3,7 @@
 const id = z.string().min(1).max(200);
 const number = z.int().positive();
 
-/** Schema of the envelope; the request or reply inside is checked by the end that uses it. */
+/** Schema of the envelope; the receiving end validates the request or reply inside. */
 export const peerFrameSchema = z.discriminatedUnion('kind', [
   z.object({
     kind: z.literal('hello'),
@@ -16,15 +16,15 @@
   z.object({ kind: z.literal('request'), number, request: z.unknown() }),
   z.object({
     kind: z.literal('reply'),
-    /** Number of the request that this answers. */
+    /** Number of the request that this frame answers. */
     number,
     reply: z.unknown(),
   }),
   z.object({
     kind: z.literal('reply-part'),
-    /** Number of the request that the parts answer together. */
+    /** Number of the request that all parts together answer. */
     number,
-    /** Piece of the encoded reply. */
+    /** Part of the encoded reply. */
     bytes: z.custom<Uint8Array>((value) => value instanceof Uint8Array),
     isLast: z.boolean(),
   }),
@@ -33,8 +33,8 @@
 ]);
 
 /**
- * One frame between two instances. The numbers of requests grow through the life of a connection,
- * as do those of an end's hello and pings; a reply and a pong carry the number that they answer.
+ * A frame between two instances. On a connection, the numbers of requests increase, as do those of
+ * an end's hello and pings. A reply or a pong carries the number of the frame that it answers.
  * @internal
  */
 export type PeerFrame = Readonly<z.output<typeof peerFrameSchema>>;
--- a/src/peers/PeerLink.ts
+++ b/src/peers/PeerLink.ts
@@ -8,18 +8,18 @@
 import type { PeerAddress, PeerReply, PeerRequest } from './PeerMessage.js';
 import { parsePeerReply } from './peerSchemas.js';
 
-/** Time without a sign of life, in milliseconds, after which a call asks the peer for one. */
+/** Time without received data after which a call pings the peer, in milliseconds. */
 const PING_AFTER_MS = 400;
-/** Time that a peer has for a sign of life, in milliseconds: a busy one answers late. */
+/** Minimum time that a peer has to answer a ping, in milliseconds: a busy peer answers late. */
 const MIN_PONG_WAIT_MS = 800;
-/** Longest wait that a timer of Node.js can hold, in milliseconds. */
+/** Longest delay that a Node.js timer supports, in milliseconds. */
 const MAX_TIMER_MS = 2 ** 31 - 1;
 
-/** How soon a lost connection may be opened again. */
+/** Backoff between attempts to reopen a lost connection. */
 export interface ReopenOptions {
-  /** Wait after the first loss, in milliseconds; it doubles with each failure in a row. */
+  /** Delay after the first loss, in milliseconds; it doubles with each consecutive failure. */
   readonly reopenMinMs: number;
-  /** Longest wait, in milliseconds. */
+  /** Longest delay, in milliseconds. */
   readonly reopenMaxMs: number;
 }
 
@@ -44,9 +44,9 @@
   readonly resolve: (reply: PeerReply) => void;
   readonly reject: (error: Error) => void;
   readonly timer: NodeJS.Timeout;
-  /** Asks for a sign of life; absent where the wait is too short for an answer to that. */
+  /** Pings the peer; undefined if the call's wait is too short for a pong to arrive. */
   readonly pingTimer: NodeJS.Timeout | undefined;
-  /** What had arrived on the connection when the call was sent on it. */
+  /** Connection that carried the call, and its chunk count at that time; absent if unsent. */
   sentAfter?: { readonly connection: PeerConnection; readonly arrivalCount: number };
 }
 
@@ -59,53 +59,53 @@
 
   private connection: PeerConnection | undefined;
 
-  /** Whether the TCP connection is there; until then no call is written. */
+  /** Whether the TCP connection is established; before that, no call is sent. */
   private connected = false;
 
-  /** Whether the peer has confirmed who it is. */
+  /** Whether the peer has confirmed its instance id. */
   private greeted = false;
 
   private failureCount = 0;
 
   private reopenTimer: NodeJS.Timeout | undefined;
 
-  /** Number of the latest call; they grow through all connections of the link. */
+  /** Number of the latest call; numbers increase across all connections of the link. */
   private lastCallNumber = 0;
 
   private readonly calls = new Map<number, PendingCall>();
 
-  /** Parts of large replies that are not whole yet, by the numbers of their calls. */
+  /** Parts of incomplete large replies, by call number. */
   private readonly parts = new Map<number, readonly Uint8Array[]>();
 
-  /** Numbers of the calls that no connection has carried yet. */
+  /** Numbers of the calls that have not been sent yet. */
   private readonly unsent = new Set<number>();
 
   /**
    * Creates a link without a connection.
-   * @param options - The peer and how to watch the connection.
+   * @param options - The peer and the connection settings.
    */
   constructor(options: PeerLinkOptions) {
     this.options = options;
   }
 
-  /** Whether the link holds neither a connection nor a call nor a wait. */
+  /** Whether the link has no connection, no unsent call and no pending reopening. */
   get idle(): boolean {
     return !this.connection && !this.reopenTimer && this.unsent.size === 0;
   }
 
   /**
-   * Sends a request, on a new connection where there is none.
-   * @param request - What to ask.
+   * Sends a request, and opens a connection if there is none.
+   * @param request - The request.
    * @param waitMs - Longest wait for the reply, in milliseconds.
    * @returns The reply.
-   * @throws RattanliftError Of kind `peer-unavailable` without a reply, or `internal` where the
-   * request is too large to be sent.
+   * @throws RattanliftError Of kind `peer-unavailable` if no reply arrives, or `internal` if the
+   * request is too large.
    */
   call(request: PeerRequest, waitMs: number): Promise<PeerReply> {
     this.lastCallNumber += 1;
     const number = this.lastCallNumber;
     return new Promise((resolve, reject) => {
-      // What came while this process was held up is read within this turn, before it is given up.
+      // Data that arrived while the event loop was blocked is read in this turn, before the expiry.
       const expire = (): unknown => setImmediate(() => this.expire(number));
       const timer = setTimeout(expire, Math.min(waitMs, MAX_TIMER_MS));
       const mayPing = waitMs >= PING_AFTER_MS + MIN_PONG_WAIT_MS;
@@ -138,7 +138,7 @@
     socket.once('connect', () => this.greet());
   }
 
-  /** Says hello and sends what waits; the peer handles no request if it is not the one meant. */
+  /** Sends the hello and the unsent calls; a peer with another instance id handles no request. */
   private greet(): void {
     const { instance, peer } = this.options;
     const connection = this.connection!;
@@ -164,7 +164,7 @@
     }
   }
 
-  /** Ends the wait of a call. */
+  /** Removes a pending call and clears its timers. */
   private take(number: number): PendingCall {
     const call = this.calls.get(number)!;
     this.calls.delete(number);
@@ -193,9 +193,8 @@
   }
 
   /**
-   * Guards against a late reply that reaches a call which did not ask for it. Numbers are not used
-   * twice, and a call that gave up takes its number with it, so a reply without an outstanding
-   * number belongs to nobody.
+   * Guards against a late reply that resolves another call. Numbers are never reused, and the
+   * number of an expired call is removed, so a reply whose number is not pending is dropped.
    */
   private settle(number: number, value: unknown): void {
     if (!this.calls.has(number) || this.unsent.has(number)) {
@@ -209,7 +208,7 @@
     this.take(number).resolve(reply);
   }
 
-  /** Gathers the parts of a large reply; those that nobody waits for any more are not kept. */
+  /** Collects the parts of a large reply; parts for calls that have ended are dropped. */
   private collect({ number, bytes, isLast }: ReplyPart): void {
     const parts = [...(this.parts.get(number) ?? []), bytes];
     const sizeBytes = parts.reduce((sum, part) => sum + part.length, 0);
@@ -233,15 +232,15 @@
   }
 
   /**
-   * Guards against calls that fail one after the other on a connection that a middlebox has
-   * forgotten, until heartbeats find that out, which are rare: a peer that has not answered a ping
-   * within the rest of a call is left, and the next call opens a new connection.
+   * Guards against calls that fail one after another on a connection whose state a middlebox has
+   * dropped, until the infrequent heartbeats detect it. If the peer has not answered a ping by the
+   * end of a call, the connection is closed, and a later call opens a new one.
    */
   private static leaveSilent(call: PendingCall): void {
     PeerLink.findSilent(call)?.close('the peer is silent');
   }
 
-  /** Finds the connection of a call where nothing has come on it since the call was sent. */
+  /** Returns the connection of a call if it has received nothing since the call was sent. */
   private static findSilent({ sentAfter }: PendingCall): PeerConnection | undefined {
     if (sentAfter === undefined) return undefined;
     const { connection, arrivalCount } = sentAfter;
@@ -259,7 +258,7 @@
     this.waitToReopen();
   }
 
-  /** Bounds how often a peer that is down is tried; calls made meanwhile wait for the next try. */
+  /** Limits how often a connection is reopened; new calls wait for the next attempt. */
   private waitToReopen(): void {
     const { reopenMinMs, reopenMaxMs } = this.options.reopen;
     const waitMs = Math.min(reopenMaxMs, reopenMinMs * 2 ** this.failureCount);
--- a/src/peers/PeerMessage.ts
+++ b/src/peers/PeerMessage.ts
@@ -19,46 +19,46 @@
   readonly coreCount: number;
   readonly memoryMb: number;
   readonly idempotent: boolean;
-  /** Wall-clock time after which the caller has no use for the answer. */
+  /** Wall-clock time after which the caller can no longer use the answer. */
   readonly deadlineAtMs: number;
-  /** Hash of the request, to tell a repeat from a reused id. */
+  /** Hash of the request, which distinguishes a repeated request from a reused id. */
   readonly fingerprint: string;
   /** VMs that already failed this request. */
   readonly excludedVms: readonly string[];
 }
 
-/** How the use of a grant ended, as its entry instance saw it. */
+/** How the use of a grant ended, as observed by its entry instance. */
 export type GrantResult = 'run' | 'failed' | 'not-started' | 'unknown' | 'cancelled';
 
-/** What an entry asks of the home of a durable job's pool. */
+/** Request about durable jobs to the home of their pool. */
 export type DurableJobRequest =
   | { readonly type: 'submit-durable-job'; readonly pool: string; readonly job: DurableJobSpec }
   | { readonly type: 'get-durable-job'; readonly pool: string; readonly jobId: string }
   | { readonly type: 'cancel-durable-job'; readonly pool: string; readonly jobId: string }
   | { readonly type: 'count-pending-jobs'; readonly pool: string; readonly queue: string }
-  /** From the fleet's home: which targets get no new task for a while, and what the pool needs. */
+  /** From the fleet's home: drained and ended targets. The reply holds the pool's demand. */
   | {
       readonly type: 'sync-pool';
       readonly pool: string;
       readonly drainedTargets: readonly string[];
-      /** How long the drains last without another message; a length, as clocks differ. */
+      /** Duration of the drains without another message; not a time, because clocks differ. */
       readonly drainedForMs: number;
-      /** Lifetimes of targets that are over by the platform's list of VMs. */
+      /** Target lifetimes that have ended according to the platform's list of VMs. */
       readonly endedTargets: readonly string[];
-      /** Those of them that crashed. */
+      /** Ended targets that crashed. */
       readonly crashedTargets: readonly string[];
-      /** Those of them that crashed together with others of their rack. */
+      /** Ended targets that crashed together with other targets of their rack. */
       readonly lostWithRack: readonly string[];
     };
 
-/** A call to a target that another instance is to make for the target's home. */
+/** Request to call a target on behalf of the target's home. */
 export interface TargetCallRequest {
   readonly type: 'call-target';
   readonly target: LeasedTargetAddress;
   readonly call: TargetCall;
 }
 
-/** What one instance asks of another; each gets exactly one reply. */
+/** Request of one instance to another; each request gets exactly one reply. */
 export type PeerRequest =
   | GrantRequest
   | { readonly type: 'cancel-request'; readonly pool: string; readonly attemptId: string }
@@ -69,13 +69,13 @@
       readonly requestId: string;
       readonly jobKind: string;
       readonly vm: string;
-      /** Whether the request was claimed at the log and so has to be settled there. */
+      /** Whether the request was claimed in the log and therefore has to be settled there. */
       readonly isClaimed: boolean;
       readonly result: GrantResult;
-      /** What the caller is told, which settles the claim of a non-idempotent request. */
+      /** Outcome that the caller receives; it settles the claim of a non-idempotent request. */
       readonly outcome: Outcome;
       readonly ranMs: number;
-      /** Most memory that the target measured for the run; absent where it told none. */
+      /** Peak memory use of the run as measured by the target; absent if the target sent none. */
       readonly usedMemoryMb?: number;
     }
   | { readonly type: 'renew-grants'; readonly pool: string; readonly grantIds: readonly string[] }
@@ -87,14 +87,14 @@
   | { readonly type: 'get-job'; readonly jobId: string }
   | { readonly type: 'cancel-job'; readonly jobId: string }
   | { readonly type: 'explain'; readonly subject: string }
-  /** Which instances hold the partitions, as the asked one has read it last. */
+  /** Requests the owners of the partitions, as the receiver has last read them. */
   | { readonly type: 'list-homes' }
-  /** An instance that takes part in holding homes and has none tells of itself. */
+  /** Announces an instance that can hold homes but holds none. */
   | { readonly type: 'announce-member'; readonly member: string }
   | TargetCallRequest
   | DurableJobRequest;
 
-/** A grant as the entry instance holds it. */
+/** Grant of a slot to an entry instance. */
 export interface GrantReply {
   readonly type: 'granted';
   readonly grantId: string;
@@ -106,18 +106,18 @@
   readonly heldMs: number;
 }
 
-/** Answer of one instance to another. */
+/** Reply of one instance to another. */
 export type PeerReply =
   | GrantReply
   | {
       readonly type: 'refused';
       readonly kind: ErrorKind;
       readonly message: string;
-      /** Wall-clock time at which to come back. */
+      /** Wall-clock time at which to retry. */
       readonly retryAtMs?: number;
     }
   | { readonly type: 'done' }
-  /** State of a durable job; without one the home is sure that there is no such job. */
+  /** State of a durable job; if absent, the home is certain that the job does not exist. */
   | { readonly type: 'durable-job'; readonly state?: DurableJobState }
   | { readonly type: 'pending-jobs'; readonly count: number }
   | { readonly type: 'pool-demand'; readonly demand: PoolDemand }
@@ -125,14 +125,14 @@
   | {
       readonly type: 'homes';
       readonly owners: readonly PartitionOwner[];
-      /** Time since the reading; a length, as clocks differ. */
+      /** Time since the owners were read; not a time of day, because clocks differ. */
       readonly ageMs: number;
     }
   | { readonly type: 'grants'; readonly grants: readonly HeldGrant[] }
   | { readonly type: 'entries'; readonly entries: readonly LogEntry[] }
   | { readonly type: 'state'; readonly json: string };
 
-/** A grant that an entry instance still uses, as it tells a new home. */
+/** A grant that an entry instance still uses, as reported to a new home. */
 export interface HeldGrant {
   readonly grantId: string;
   readonly requestId: string;
@@ -155,14 +155,15 @@
 export interface PeerPort {
   /**
    * Sends a request to a peer and waits for its reply.
-   * @param peer - Which instance, and where it listens.
-   * @param request - What to ask.
+   * @param peer - Address of the peer.
+   * @param request - The request.
    * @param waitMs - Longest wait for the reply, in milliseconds.
    * @returns The reply.
-   * @throws RattanliftError Of kind `peer-unavailable` without a reply; the peer may have acted.
+   * @throws RattanliftError Of kind `peer-unavailable` if no reply arrives; the peer may still
+   * have handled the request.
    */
   call(peer: PeerAddress, request: PeerRequest, waitMs: number): Promise<PeerReply>;
 }
 
-/** Handles the requests of peers; what it throws reaches the peer as a `refused` reply. */
+/** Handles requests of peers; an error that it throws is sent as a `refused` reply. */
 export type PeerHandler = (from: string, request: PeerRequest) => Promise<PeerReply>;
--- a/src/peers/PeerServer.ts
+++ b/src/peers/PeerServer.ts
@@ -37,7 +37,7 @@
   /**
    * Starts to listen.
    * @returns The port.
-   * @throws RattanliftError Of kind `internal` where the address cannot be had.
+   * @throws RattanliftError Of kind `internal` if the server cannot listen on the address.
    */
   async start(): Promise<{ readonly port: number }> {
     const { host, port } = this.options;
@@ -54,7 +54,7 @@
     return { port: (this.server.address() as AddressInfo).port };
   }
 
-  /** Stops listening and closes every connection after the replies that were already given. */
+  /** Stops listening and closes every connection after its written replies have been sent. */
   async stop(): Promise<void> {
     const closed = new Promise<void>((resolve) => {
       this.server.close(() => resolve());
--- a/src/peers/PeerServerConnection.ts
+++ b/src/peers/PeerServerConnection.ts
@@ -24,7 +24,7 @@
 }
 
 /**
- * The serving end of a connection: checks the hello, then answers each request once.
+ * The server end of a connection. It checks the hello and then answers each request once.
  * @internal
  */
 export class PeerServerConnection {
@@ -32,14 +32,14 @@
 
   private readonly connection: PeerConnection;
 
-  /** Instance at the other end, once it has said hello. */
+  /** Instance id of the peer; undefined before its hello. */
   private from: string | undefined;
 
   private lastRequestNumber = 0;
 
   /**
-   * Takes over an accepted socket.
-   * @param options - The socket and who answers on it.
+   * Takes ownership of an accepted socket.
+   * @param options - The socket, this instance's id and its request handler.
    */
   constructor(options: PeerServerConnectionOptions) {
     this.options = options;
@@ -51,7 +51,7 @@
     });
   }
 
-  /** Closes the connection after the replies that were already given. */
+  /** Closes the connection after the written replies have been sent. */
   stop(): void {
     this.connection.closeAfterWrites('this instance stops');
   }
@@ -63,9 +63,9 @@
   }
 
   /**
-   * Guards against a restarted daemon that answers for its predecessor on the same address: it
-   * knows nothing of the predecessor's grants, and its "no such grant" would be taken for the
-   * predecessor's word. An instance id is never used twice, so comparing it is enough.
+   * Guards against a restarted daemon that answers requests to its predecessor on the same address.
+   * It does not know the predecessor's grants, so its "no such grant" would be taken for the
+   * predecessor's answer. Instance ids are never reused, so comparing them is sufficient.
    */
   private greet(from: string, to: string): void {
     const { instance, events } = this.options;
@@ -123,7 +123,7 @@
     }
   }
 
-  /** Sends a reply that is too large for one frame, such as the whole state for a new instance. */
+  /** Sends a reply that is too large for one frame, such as the full state for a new instance. */
   private sendInParts(number: number, payload: Buffer): void {
     if (payload.length > MAX_REPLY_BYTES) {
       throwError('internal', `A reply of ${payload.length} bytes exceeds ${MAX_REPLY_BYTES}.`);
--- a/src/peers/frameCodec.ts
+++ b/src/peers/frameCodec.ts
@@ -4,17 +4,17 @@
 import { cborCodec } from '../utils/index.js';
 import { type PeerFrame, peerFrameSchema } from './PeerFrame.js';
 
-/** Bytes of the big-endian length before each frame. */
+/** Size of the big-endian length before each frame, in bytes. */
 export const FRAME_HEADER_BYTES = 4;
 
-/** Largest frame without its header, in bytes. */
+/** Maximum size of a frame without its header, in bytes. */
 export const MAX_FRAME_BYTES = 4 * 1024 * 1024;
 
-/** Largest reply, which travels in several frames where it is larger than one, in bytes. */
+/** Maximum size of a reply, in bytes; a reply too large for one frame is sent in several. */
 export const MAX_REPLY_BYTES = 32 * 1024 * 1024;
 
-// A few bytes can announce an array of billions of items, for which the decoder would reserve
-// memory before it finds that they are missing. No item is shorter than one byte.
+// A few bytes can declare an array of billions of items, for which the decoder would allocate
+// memory before it detects that they are missing. Each item takes at least one byte.
 setSizeLimits({
   maxArraySize: MAX_FRAME_BYTES,
   maxMapSize: MAX_FRAME_BYTES,
@@ -22,10 +22,10 @@
 });
 
 /**
- * Encodes a frame with its length.
+ * Encodes a frame with its length header.
  * @param frame - The frame.
  * @returns The bytes to send.
- * @throws RattanliftError Of kind `internal` where the frame is larger than the limit.
+ * @throws RattanliftError Of kind `internal` if the frame exceeds {@link MAX_FRAME_BYTES}.
  * @internal
  */
 export function encodeFrame(frame: PeerFrame): Buffer {
@@ -39,9 +39,9 @@
 }
 
 /**
- * Encodes a value.
+ * Encodes a value as CBOR.
  * @param value - The value.
- * @returns Its bytes.
+ * @returns The encoded bytes.
  * @internal
  */
 export function encodeCbor(value: unknown): Buffer {
@@ -49,10 +49,10 @@
 }
 
 /**
- * Decodes a value.
- * @param payload - Its bytes.
+ * Decodes a CBOR value.
+ * @param payload - The encoded bytes.
  * @returns The value.
- * @throws RattanliftError Of kind `bad-request` where the bytes are no CBOR.
+ * @throws RattanliftError Of kind `bad-request` if the bytes are not valid CBOR.
  * @internal
  */
 export function decodeCbor(payload: Buffer): unknown {
@@ -67,7 +67,7 @@
  * Decodes a frame.
  * @param payload - The bytes after the header.
  * @returns The frame.
- * @throws RattanliftError Of kind `bad-request` where the bytes are no frame.
+ * @throws RattanliftError Of kind `bad-request` if the bytes are not a valid frame.
  * @internal
  */
 export function decodeFrame(payload: Buffer): PeerFrame {
--- a/src/peers/peerSchemas.ts
+++ b/src/peers/peerSchemas.ts
@@ -12,7 +12,7 @@
 const errorKind = z.enum(Object.keys(ERROR_ANSWERS) as [ErrorKind, ...ErrorKind[]]);
 const entries = z.array(z.looseObject({ offset: count, payload: z.unknown() }));
 
-// Objects are loose: an instance of a later version may send fields that this one does not know.
+// Objects are loose because a later version may send fields that this one does not know.
 const requestSchema = z.discriminatedUnion('type', [
   z.looseObject({
     type: z.literal('request-grant'),
@@ -62,7 +62,7 @@
     drainedTargets: z.array(id),
     drainedForMs: z.number().nonnegative(),
     endedTargets: z.array(id),
-    // A peer of an earlier version does not tell.
+    // Peers of earlier versions do not send these two fields.
     crashedTargets: z.array(id).default([]),
     lostWithRack: z.array(id).default([]),
   }),
@@ -123,7 +123,7 @@
       ),
       waitingCpuMillicores: z.number(),
       neededCpuMillicores: z.number(),
-      // An instance of an earlier version does not tell these two.
+      // Instances of earlier versions do not send these two fields.
       lateCpuMillicores: z.number().default(0),
       wholeVmCount: count.default(0),
       jobCount: count,
@@ -148,8 +148,8 @@
 }
 
 /**
- * Checks the request of a peer.
- * @param value - What the frame held.
+ * Validates a request of a peer.
+ * @param value - The request of the frame.
  * @returns The request.
  * @throws RattanliftError Of kind `bad-request` with the field at fault.
  * @internal
@@ -160,8 +160,8 @@
 }
 
 /**
- * Checks the reply of a peer.
- * @param value - What the frame held.
+ * Validates a reply of a peer.
+ * @param value - The reply of the frame.
  * @returns The reply.
  * @throws RattanliftError Of kind `bad-request` with the field at fault.
  * @internal
--- a/tests/peers/FrameDecoder.fuzz.test.ts
+++ b/tests/peers/FrameDecoder.fuzz.test.ts
@@ -11,7 +11,7 @@
 const chunks = fc.array(fc.uint8Array({ maxLength: 40 }), { maxLength: 8 });
 const number = fc.integer({ min: 1, max: 2 ** 31 });
 const name = fc.string({ minLength: 1, maxLength: 20 });
-// JSON has no -0, which would come back as 0.
+// JSON has no -0; it would be decoded as 0.
 const value = fc.jsonValue({ maxDepth: 3 }).map((json) => JSON.parse(JSON.stringify(json)));
 const frame: fc.Arbitrary<PeerFrame> = fc.oneof(
   fc.record({ kind: fc.constant('hello' as const), number, from: name, to: name }),
@@ -20,7 +20,7 @@
   fc.record({ kind: fc.constant('ping' as const), number }),
 );
 
-/** Runs a decoder or parser; anything but a `bad-request` error fails the test. */
+/** Runs a decoder or parser; an error of any kind but `bad-request` fails the test. */
 function expectBadRequestAtMost(run: () => unknown): void {
   try {
     run();
@@ -35,7 +35,7 @@
 }
 
 describe(`FrameDecoder, seed ${SEED}`, () => {
-  it('takes arbitrary bytes or rejects them as a bad request', () => {
+  it('accepts arbitrary bytes or rejects them as a bad request', () => {
     fc.assert(
       fc.property(chunks, (parts) =>
         expectBadRequestAtMost(() => decodeAll(new FrameDecoder(), parts)),
@@ -44,7 +44,7 @@
     );
   });
 
-  it('takes arbitrary payloads of a frame or rejects them as a bad request', () => {
+  it('accepts arbitrary frame payloads or rejects them as a bad request', () => {
     fc.assert(
       fc.property(fc.uint8Array({ maxLength: 60 }), (payload) => {
         const bytes = Buffer.alloc(4 + payload.length);
@@ -56,7 +56,7 @@
     );
   });
 
-  it('gives the frames back that were encoded, however their bytes arrive', () => {
+  it('decodes the encoded frames, however their bytes are split', () => {
     fc.assert(
       fc.property(
         fc.array(frame, { minLength: 1, maxLength: 4 }),
@@ -73,7 +73,7 @@
     );
   });
 
-  it('takes arbitrary messages or rejects them as a bad request', () => {
+  it('accepts arbitrary messages or rejects them as a bad request', () => {
     const types = ['request-grant', 'finish-grant', 'push-entries', 'granted', 'refused', 'grants'];
     const message = fc.oneof(
       value,
--- a/tests/peers/PeerClient.test.ts
+++ b/tests/peers/PeerClient.test.ts
@@ -15,7 +15,7 @@
 const HOST = '127.0.0.1';
 const LONG_MS = 30_000;
 const heartbeat = { heartbeatMs: 10, silentHeartbeatLimit: 10 };
-/** So rare that no test meets one. */
+/** An interval so long that no heartbeat occurs during a test. */
 const rareHeartbeat = { heartbeatMs: 60_000, silentHeartbeatLimit: 2 };
 const reopen = { reopenMinMs: 5, reopenMaxMs: 20 };
 const cleanups: (() => unknown)[] = [];
@@ -60,9 +60,9 @@
   count === 0 ? Promise.resolve() : Promise.resolve().then(() => afterMicrotasks(count - 1));
 
 describe('PeerClient.call', () => {
-  // Guards against a busy home that takes replies for lost which came in time: it found the wait
-  // over before it had read them.
-  it('takes a reply that came while the process was held up', async () => {
+  // Guards against a busy home that treats replies as lost although they arrived in time: the
+  // call's timer fires before the process has read them.
+  it('accepts a reply that arrived while the event loop was blocked', async () => {
     const { peer } = await startServer(async (from, request) => {
       void afterMicrotasks(MICROTASKS_OF_A_REPLY).then(() => setImmediate(() => holdUp(200)));
       return echo(from, request);
@@ -139,7 +139,7 @@
     expect(events.events.map(({ event }) => event)).toEqual(['peerConnected']);
   });
 
-  it('gets a reply whole that is larger than a frame, among others', async () => {
+  it('receives a reply that is larger than a frame, alongside other replies', async () => {
     const json = Array.from({ length: 1_000_000 }, (_, index) => index).join(' ');
     const { peer } = await startServer(async (from, request) =>
       request.type === 'get-tables' ? { type: 'state', json } : echo(from, request),
@@ -153,16 +153,16 @@
     expect(replies[1]).toEqual({ type: 'state', json: 'a x' });
   });
 
-  it('does not send what is too large', async () => {
+  it('rejects a request that exceeds the frame size', async () => {
     const { peer } = await startServer();
     const call = createClient().client.call(peer, explain('x'.repeat(5_000_000)), LONG_MS);
     await expect(call).rejects.toMatchObject({ kind: 'internal' });
   });
 
-  it('drops a reply that comes after its call gave up', async () => {
-    // A caller waits for a page while the home is slow. The entry instance gives the first call up
-    // and asks again; then the first reply arrives. Were it taken for the second call's, the
-    // caller would get another request's slot.
+  it('drops a reply that arrives after its call has expired', async () => {
+    // The home is slow, so the entry instance's first call expires and it calls again. Then the
+    // first reply arrives. If it resolved the second call, the caller would get another request's
+    // slot.
     const resolvers: ((reply: PeerReply) => void)[] = [];
     const { peer } = await startServer(
       () =>
@@ -188,9 +188,9 @@
     expect(await second).toEqual({ type: 'state', json: 'second' });
   });
 
-  it('leaves a silent connection and works over a new one', async () => {
-    // A middlebox loses track of an open connection: nothing arrives any more and no reset comes.
-    // Callers of one entry VM would wait for their whole deadline, though a new connection works.
+  it('closes a silent connection and opens a new one', async () => {
+    // A middlebox drops the state of an open connection: no data and no reset arrive any more.
+    // Callers of one entry VM would wait until their deadlines, though a new connection works.
     const { peer } = await startServer();
     const forwarder = new TcpForwarder(peer.port);
     const port = await forwarder.start();
@@ -210,9 +210,9 @@
     expect(forwarder.connectionCount).toBe(2);
   });
 
-  // After all connections between instances had gone silent, callers waited on each entry for 4 s:
-  // one call after the other was sent on the dead connection, until heartbeats had found that out.
-  it('leaves a connection on which a call met silence, before heartbeats find it', async () => {
+  // Guards against callers of each entry that wait 4 s after all connections between instances go
+  // silent: calls are sent on the dead connection one after another until heartbeats detect it.
+  it('closes a connection on which a call got no data, before heartbeats detect it', async () => {
     const options = { heartbeat: rareHeartbeat };
     const { peer } = await startServer(echo, 'b', 0, options);
     const forwarder = new TcpForwarder(peer.port);
@@ -227,7 +227,8 @@
     expect(await client.call(through, explain('after'), 1_250)).toMatchObject({ json: 'a after' });
   });
 
-  // A home that waits for the store answers no call in time, and is not gone: its connections stay.
+  // A home that waits for the store does not answer calls in time, but it is alive, so its
+  // connections stay open.
   it('keeps a connection whose peer answers pings while a call gets no reply', async () => {
     const options = { heartbeat: rareHeartbeat };
     const handler: PeerHandler = (from, request) =>
@@ -256,10 +257,10 @@
     expect(forwarder.connectionCount).toBe(1);
   });
 
-  it('is not answered by a restarted daemon on the same port', async () => {
-    // A daemon restarts on its old address and port with a new instance id. An entry instance asks
-    // the old one which grants it still uses; "none", said by the new one, would free slots that
-    // are in use, and two jobs would share one.
+  it('gets no reply from a restarted daemon on the same port', async () => {
+    // A daemon restarts on the same address and port with a new instance id. An entry instance asks
+    // the old instance which grants it still uses. If the new instance answered "none", slots in
+    // use would be freed, and two jobs would share one.
     const first = await startServer(echo, 'b-1');
     const { client, events } = createClient();
     await client.call(first.peer, explain('x'), LONG_MS);
@@ -325,7 +326,7 @@
     });
   });
 
-  it('says which address it cannot have', async () => {
+  it('names the address on which it cannot listen', async () => {
     const { peer } = await startServer();
     await expect(startServer(echo, 'c', peer.port)).rejects.toThrow(`${HOST}:${peer.port}`);
   });
--- a/tests/peers/TcpForwarder.ts
+++ b/tests/peers/TcpForwarder.ts
@@ -1,6 +1,6 @@
 import { type AddressInfo, connect, createServer, type Socket } from 'node:net';
 
-/** Forwards TCP connections and can forget them: their bytes vanish, without a reset. */
+/** Forwards TCP connections and can drop their state, so that bytes are lost without a reset. */
 export class TcpForwarder {
   private readonly sockets = new Set<Socket>();
 
@@ -21,7 +21,7 @@
     return (this.server.address() as AddressInfo).port;
   }
 
-  /** Lets the bytes of every present connection vanish from now on, and its end as well. */
+  /** Discards the data and the closing of every current connection from now on. */
   forgetConnections(): void {
     this.sockets.forEach((socket) => {
       socket.removeAllListeners('data');
