--- a/tests/peers/PeerClient.test.ts
+++ b/tests/peers/PeerClient.test.ts
@@ -258,9 +258,9 @@
   });
 
   it('gets no reply from a restarted daemon on the same port', async () => {
-    // A daemon restarts on the same address and port with a new instance id. An entry instance asks
-    // the old instance which grants it still uses. If the new instance answered "none", slots in
-    // use would be freed, and two jobs would share one.
+    // A daemon restarts on the same address and port with a new instance id. A home asks the old
+    // instance which grants it still uses. If the new instance answered "none", slots in use would
+    // be freed, and two jobs would share one.
     const first = await startServer(echo, 'b-1');
     const { client, events } = createClient();
     await client.call(first.peer, explain('x'), LONG_MS);
