--- a/src/peers/HeartbeatOptions.ts
+++ b/src/peers/HeartbeatOptions.ts
@@ -6,5 +6,5 @@
   readonly silentHeartbeatLimit: number;
 }
 
-/** Pings a peer after each second without data, and closes the connection after three. */
+/** Pings after each second without data, and closes the connection after three such seconds. */
 export const DEFAULT_HEARTBEAT: HeartbeatOptions = { heartbeatMs: 1000, silentHeartbeatLimit: 3 };
--- a/src/peers/PeerLink.ts
+++ b/src/peers/PeerLink.ts
@@ -179,13 +179,13 @@
     if (frame.kind === 'hello') this.checkHello(frame.from, frame.to);
     else if (frame.kind === 'reply' && this.greeted) this.settle(frame.number, frame.reply);
     else if (frame.kind === 'reply-part' && this.greeted) this.collect(frame);
-    else throwError('bad-request', `A ${frame.kind} came to a calling end.`);
+    else throwError('bad-request', `Unexpected ${frame.kind} frame on a client.`);
   }
 
   private checkHello(from: string, to: string): void {
     const { instance, peer, events } = this.options;
     if (this.greeted || from !== peer.instance || to !== instance) {
-      throwError('bad-request', `A hello of ${from} to ${to} came.`);
+      throwError('bad-request', `The hello from ${from} to ${to} is unexpected.`);
     }
     this.greeted = true;
     this.failureCount = 0;
@@ -272,7 +272,7 @@
 
   private failAll(reason: string): void {
     [...this.calls.keys()].forEach((number) =>
-      this.take(number).reject(this.createError(`is out of reach: ${reason}`)),
+      this.take(number).reject(this.createError(`is unreachable: ${reason}`)),
     );
   }
 
--- a/src/peers/PeerMessage.ts
+++ b/src/peers/PeerMessage.ts
@@ -41,7 +41,7 @@
       readonly type: 'sync-pool';
       readonly pool: string;
       readonly drainedTargets: readonly string[];
-      /** Duration of the drains without another message; not a time, because clocks differ. */
+      /** Duration of the drains without another message; no deadline, because clocks differ. */
       readonly drainedForMs: number;
       /** Target lifetimes that have ended according to the platform's list of VMs. */
       readonly endedTargets: readonly string[];
@@ -125,7 +125,7 @@
   | {
       readonly type: 'homes';
       readonly owners: readonly PartitionOwner[];
-      /** Time since the owners were read; not a time of day, because clocks differ. */
+      /** Time since the owners were read; no timestamp, because clocks differ. */
       readonly ageMs: number;
     }
   | { readonly type: 'grants'; readonly grants: readonly HeldGrant[] }
--- a/src/peers/PeerServer.ts
+++ b/src/peers/PeerServer.ts
@@ -47,7 +47,7 @@
         this.server.listen(port, host, resolve);
       });
     } catch (thrown) {
-      throwError('internal', `Peers cannot be served on ${host}:${port}.`, {
+      throwError('internal', `The peer server cannot listen on ${host}:${port}.`, {
         cause: thrown as Error,
       });
     }
--- a/src/peers/PeerServerConnection.ts
+++ b/src/peers/PeerServerConnection.ts
@@ -59,7 +59,7 @@
   private receive(frame: PeerFrame): void {
     if (frame.kind === 'hello') this.greet(frame.from, frame.to);
     else if (frame.kind === 'request') void this.answer(frame.number, frame.request);
-    else throwError('bad-request', `A ${frame.kind} came to a serving end.`);
+    else throwError('bad-request', `Unexpected ${frame.kind} frame on a server.`);
   }
 
   /**
@@ -69,7 +69,7 @@
    */
   private greet(from: string, to: string): void {
     const { instance, events } = this.options;
-    if (this.from !== undefined) throwError('bad-request', 'A second hello came.');
+    if (this.from !== undefined) throwError('bad-request', 'The peer sent a second hello.');
     if (to !== instance) {
       events.write('peerMismatched', { peer: from, expectedInstance: to });
       this.connection.closeAfterWrites(`the peer expected ${to}`);
@@ -83,11 +83,11 @@
 
   private async answer(number: number, value: unknown): Promise<void> {
     if (this.from === undefined) {
-      this.connection.reject('a request came before the hello');
+      this.connection.reject('the peer sent a request before its hello');
       return;
     }
     if (number <= this.lastRequestNumber) {
-      this.connection.reject('a request number came twice');
+      this.connection.reject('the request number did not increase');
       return;
     }
     this.lastRequestNumber = number;
--- a/src/store/GroupPort.ts
+++ b/src/store/GroupPort.ts
@@ -19,7 +19,7 @@
   readonly topic: string;
   /** Time without a renewal after which the member loses its partitions, in milliseconds. */
   readonly ttlMs: number;
-  /** Generation of the share that the member uses; 0 before the first one. */
+  /** Generation of the assignment that the member uses; 0 before the first one. */
   readonly generation: number;
   /** Longest wait for the answer, in milliseconds. */
   readonly timeoutMs: number;
@@ -34,7 +34,7 @@
   /**
    * Joins a group or renews the membership.
    * @param request - Group, member and topic.
-   * @returns The member's share.
+   * @returns The member's assignment.
    * @throws Error If no answer arrives or the store rejects the call.
    */
   join(request: JoinRequest): Promise<GroupShare>;
