--- a/src/daemon/HomeManager.ts
+++ b/src/daemon/HomeManager.ts
@@ -1,5 +1,5 @@
 import { PoolHome, type PoolHomeOptions } from '../home/index.js';
-import { HomeKeeper, type HomeDecision } from '../membership/index.js';
+import { HomePlanner, type HomeDecision } from '../membership/index.js';
 import type { PeerPort, PeerReply, PeerRequest } from '../peers/index.js';
 import type { PoolSettings } from '../settings/index.js';
 import { summariseWaves } from '../systems/index.js';
@@ -34,7 +34,7 @@
 
   private readonly homes = new Map<string, PoolHome>();
 
-  private readonly keeper: HomeKeeper;
+  private readonly keeper: HomePlanner;
 
   private readonly actions = new KeyedOnce();
 
@@ -48,7 +48,7 @@
    */
   constructor(options: HomeManagerOptions) {
     this.options = options;
-    this.keeper = new HomeKeeper({
+    this.keeper = new HomePlanner({
       instance: options.instance,
       candidateStepMs: CANDIDATE_STEP_MS,
       settleMs: SETTLE_MS,
--- a/src/entry/JobRun.ts
+++ b/src/entry/JobRun.ts
@@ -1,7 +1,7 @@
 import { finished } from 'node:stream';
 import type { JobAnswer } from '../callers/index.js';
 import { ERROR_ANSWERS, type ErrorKind, type Outcome, RattanliftError } from '../errors/index.js';
-import { GRANT_LENGTH_MS } from '../home/index.js';
+import { GRANT_DURATION_MS } from '../home/index.js';
 import type { EventLog } from '../logging/index.js';
 import type { Metrics } from '../metrics/index.js';
 import type { GrantReply, GrantResult, PeerReply } from '../peers/index.js';
@@ -133,7 +133,7 @@
     this.reports.noteGranted(reply);
     // Failure: this process was paused, or the grant's answer was, and the slot belongs to another
     // request by now. Counted from before the asking, the deadline here is ahead of the home's.
-    const deadlineMs = askedAtMs + reply.heldMs + GRANT_LENGTH_MS - GRANT_MARGIN_MS;
+    const deadlineMs = askedAtMs + reply.heldMs + GRANT_DURATION_MS - GRANT_MARGIN_MS;
     if (this.signal.aborted || clock.monotonicMs() >= deadlineMs) {
       this.asker.withdraw(this.lastAttemptId);
       return this.signal.aborted ? this.endByAbort('not-run') : endByExpiry();
--- a/src/home/CapacityRunner.ts
+++ b/src/home/CapacityRunner.ts
@@ -20,7 +20,7 @@
 }
 
 /** Maximum time to wait until a record about a move is read back from the log. */
-const WRITE_WAIT_MS = 5_000;
+const WRITE_TIMEOUT_MS = 5_000;
 
 /** Moves VMs between pools: one pool releases a VM, then another adopts it. */
 export class CapacityRunner {
@@ -99,7 +99,7 @@
     const expectedVersion = fleet.assignments.get(vm)?.version ?? 0;
     const result = await writer.write(
       { type, vm, pool: tables.pool, instance, term, expectedVersion },
-      { deadlineMs: clock.monotonicMs() + WRITE_WAIT_MS },
+      { deadlineMs: clock.monotonicMs() + WRITE_TIMEOUT_MS },
     );
     return result.type === 'accepted';
   }
--- a/src/home/ClaimDesk.ts
+++ b/src/home/ClaimRegistry.ts
@@ -6,8 +6,8 @@
 import { type Clock, KeyedOnce } from '../utils/index.js';
 import { type Refusal, refuse } from './Refusal.js';
 
-/** Options of {@link ClaimDesk}. */
-export interface ClaimDeskOptions {
+/** Options of {@link ClaimRegistry}. */
+export interface ClaimRegistryOptions {
   readonly pool: string;
   readonly instance: string;
   /** Term in which this instance is the home of the pool. */
@@ -19,24 +19,24 @@
 }
 
 /** Maximum time to wait until a claim is read back; after that the caller is told `not run`. */
-const CLAIM_WAIT_MS = 3_000;
+const CLAIM_TIMEOUT_MS = 3_000;
 /** How long a claim is kept after the caller's deadline, to recognize late retries. */
-const CLAIM_KEPT_AFTER_DEADLINE_MS = 3_600_000;
+const CLAIM_RETENTION_MS = 3_600_000;
 
 /** Records claims of non-idempotent requests in the log, so that none reaches a target twice. */
-export class ClaimDesk {
-  private readonly options: ClaimDeskOptions;
+export class ClaimRegistry {
+  private readonly options: ClaimRegistryOptions;
 
   /** Requests that were refused after their claim was written, and never sent to a target. */
-  private readonly unsent = new Set<string>();
+  private readonly unsentRequestIds = new Set<string>();
 
-  private readonly settling = new KeyedOnce();
+  private readonly settlements = new KeyedOnce();
 
   /**
    * Creates the claim registry of a pool's home.
    * @param options - Pool, term and dependencies.
    */
-  constructor(options: ClaimDeskOptions) {
+  constructor(options: ClaimRegistryOptions) {
     this.options = options;
   }
 
@@ -44,17 +44,17 @@
    * Checks whether an earlier attempt with the same request id rules out a new one.
    * @param entry - Entry instance that sent the request.
    * @param request - The request.
-   * @param isUnderWay - Whether the request waits for or holds a grant at this home.
+   * @param isInProgress - Whether the request waits for or holds a grant at this home.
    * @returns The refusal, or undefined if the request may continue.
    */
-  findObstacle(entry: string, request: GrantRequest, isUnderWay: boolean): Refusal | undefined {
+  findConflict(entry: string, request: GrantRequest, isInProgress: boolean): Refusal | undefined {
     const claim = this.options.fleet.claims.get(request.requestId);
     if (claim !== undefined && claim.fingerprint !== request.fingerprint) {
       return refuse('request-id-reused', 'Another request has used this id before.');
     }
-    if (isUnderWay) return refuse('already-running', 'The request is being handled already.');
+    if (isInProgress) return refuse('already-running', 'The request is being handled already.');
     if (claim === undefined) return undefined;
-    return this.findObstacleOfClaim(entry, claim);
+    return this.findClaimConflict(entry, claim);
   }
 
   /**
@@ -65,11 +65,15 @@
    */
   async claim(entry: string, request: GrantRequest): Promise<Refusal | undefined> {
     const { fleet, clock, writer } = this.options;
-    const known = fleet.claims.get(request.requestId);
-    if (known !== undefined && known.outcome === undefined && known.entry === entry) {
-      return this.continueClaim(request);
+    const existingClaim = fleet.claims.get(request.requestId);
+    if (
+      existingClaim !== undefined &&
+      existingClaim.outcome === undefined &&
+      existingClaim.entry === entry
+    ) {
+      return this.reuseClaim(request);
     }
-    const deadlineMs = clock.monotonicMs() + CLAIM_WAIT_MS;
+    const deadlineMs = clock.monotonicMs() + CLAIM_TIMEOUT_MS;
     const record = this.createRecord(entry, request);
     const result = await writer.write(record, { deadlineMs, failsFast: true });
     switch (result.type) {
@@ -81,7 +85,7 @@
       default:
         // The claim may be in the log although nothing is sent. It is marked as unsent, so that a
         // retry is neither blocked nor told that its outcome is unknown.
-        this.unsent.add(request.requestId);
+        this.unsentRequestIds.add(request.requestId);
         return this.refuseClaim(request, 'log-unavailable', 'The claim could not be recorded.');
     }
   }
@@ -90,8 +94,8 @@
    * Marks a claimed request as unsent because it was cancelled before its grant was delivered.
    * @param requestId - The request.
    */
-  noteUnsent(requestId: string): void {
-    if (this.options.fleet.claims.has(requestId)) this.unsent.add(requestId);
+  markUnsent(requestId: string): void {
+    if (this.options.fleet.claims.has(requestId)) this.unsentRequestIds.add(requestId);
   }
 
   /**
@@ -110,24 +114,24 @@
         term,
         settlements: [{ requestId, outcome }],
       },
-      { deadlineMs: clock.monotonicMs() + CLAIM_WAIT_MS },
+      { deadlineMs: clock.monotonicMs() + CLAIM_TIMEOUT_MS },
     );
     return result.type === 'accepted';
   }
 
   /** Settles claims as not run that are in the log although their requests were never sent. */
   tick(): void {
-    Array.from(this.unsent)
+    Array.from(this.unsentRequestIds)
       .filter((requestId) => this.options.fleet.claims.get(requestId)?.outcome === undefined)
       .filter((requestId) => this.options.fleet.claims.has(requestId))
       .forEach((requestId) => {
-        this.settling.start(requestId, async () => {
-          if (await this.settle(requestId, 'not-run')) this.unsent.delete(requestId);
+        this.settlements.start(requestId, async () => {
+          if (await this.settle(requestId, 'not-run')) this.unsentRequestIds.delete(requestId);
         });
       });
   }
 
-  private findObstacleOfClaim(entry: string, claim: ClaimRow): Refusal | undefined {
+  private findClaimConflict(entry: string, claim: ClaimRow): Refusal | undefined {
     switch (claim.outcome) {
       case 'not-run':
         return undefined;
@@ -136,7 +140,7 @@
       case 'unknown':
         return refuse('outcome-unknown', 'It is unknown whether the request has run.');
       default:
-        return this.findObstacleOfOpenClaim(entry, claim);
+        return this.findOpenClaimConflict(entry, claim);
     }
   }
 
@@ -147,7 +151,7 @@
    * the request, so a retry through another instance never sends it again. The same entry instance
    * may continue, since it knows that it has not sent the request.
    */
-  private findObstacleOfOpenClaim(entry: string, claim: ClaimRow): Refusal | undefined {
+  private findOpenClaimConflict(entry: string, claim: ClaimRow): Refusal | undefined {
     if (claim.entry === entry) return undefined;
     const isEntryJoined = this.options.fleet.instances.get(claim.entry)?.state === 'joined';
     return isEntryJoined
@@ -161,8 +165,8 @@
    * Otherwise the settlement would free the id of a request that is running, and a third attempt
    * would run the request twice.
    */
-  private continueClaim(request: GrantRequest): Refusal | undefined {
-    if (!this.unsent.has(request.requestId)) return undefined;
+  private reuseClaim(request: GrantRequest): Refusal | undefined {
+    if (!this.unsentRequestIds.has(request.requestId)) return undefined;
     return this.refuseClaim(request, 'already-running', 'An earlier attempt is being settled.');
   }
 
@@ -178,7 +182,7 @@
         {
           requestId: request.requestId,
           entry,
-          keepUntilMs: request.deadlineAtMs + CLAIM_KEPT_AFTER_DEADLINE_MS,
+          keepUntilMs: request.deadlineAtMs + CLAIM_RETENTION_MS,
           fingerprint: request.fingerprint,
         },
       ],
--- a/src/home/DrainRunner.ts
+++ b/src/home/DrainRunner.ts
@@ -13,7 +13,7 @@
 export class DrainRunner {
   private readonly options: DrainRunnerOptions;
 
-  private readonly told = new Set<string>();
+  private readonly drainedVms = new Set<string>();
 
   private readonly calls = new KeyedOnce();
 
@@ -30,29 +30,29 @@
     const { fleet, tables, vmPort } = this.options;
     fleet.drains
       .list()
-      .filter(({ vm }) => tables.vms.has(vm) && !this.told.has(vm))
+      .filter(({ vm }) => tables.vms.has(vm) && !this.drainedVms.has(vm))
       .forEach(({ vm }) =>
-        this.tell(
+        this.callPlatform(
           vm,
           () => vmPort.drain(vm),
-          () => this.told.add(vm),
+          () => this.drainedVms.add(vm),
         ),
       );
-    this.told.forEach((vm) => {
+    this.drainedVms.forEach((vm) => {
       if (fleet.drains.has(vm)) return;
-      this.tell(
+      this.callPlatform(
         vm,
         () => vmPort.undrain(vm),
-        () => this.told.delete(vm),
+        () => this.drainedVms.delete(vm),
       );
     });
   }
 
-  private tell(vm: string, call: () => Promise<void>, note: () => void): void {
+  private callPlatform(vm: string, call: () => Promise<void>, onSuccess: () => void): void {
     this.calls.start(vm, async () => {
       try {
         await call();
-        note();
+        onSuccess();
       } catch {
         // The call failed; the next tick repeats it.
       }
--- a/src/home/ExplainLog.ts
+++ b/src/home/ExplainLog.ts
@@ -30,9 +30,9 @@
    */
   note(subject: string, text: string): void {
     const at = new Date(this.options.clock.wallMs()).toISOString();
-    const kept = this.lines.get(subject) ?? [];
+    const previousLines = this.lines.get(subject) ?? [];
     this.lines.delete(subject);
-    this.lines.set(subject, [...kept, `${at} ${text}`].slice(-MAX_LINE_COUNT));
+    this.lines.set(subject, [...previousLines, `${at} ${text}`].slice(-MAX_LINE_COUNT));
     if (this.lines.size <= MAX_SUBJECT_COUNT) return;
     const oldest = this.lines.keys().next().value;
     if (oldest !== undefined) this.lines.delete(oldest);
--- a/src/home/PoolGrants.ts
+++ b/src/home/PoolGrants.ts
@@ -6,11 +6,11 @@
 import type { ExplainLog } from './ExplainLog.js';
 import {
   createGrant,
-  createHeldGrant,
-  GRANT_LENGTH_MS,
-  type GrantHeldElsewhere,
+  createInheritedGrant,
+  GRANT_DURATION_MS,
+  type InheritedGrant,
 } from './grantRows.js';
-import { tellRunVerdict } from './tellRunVerdict.js';
+import { reportRunVerdict } from './reportRunVerdict.js';
 
 /** Options of {@link PoolGrants}. */
 export interface PoolGrantsOptions {
@@ -49,10 +49,10 @@
    * Adopts grants that entry instances still hold from an earlier home.
    * @param heldGrants - The grants.
    */
-  adopt(heldGrants: readonly GrantHeldElsewhere[]): void {
+  adopt(heldGrants: readonly InheritedGrant[]): void {
     const { tables, clock } = this.options;
     heldGrants.forEach((held) =>
-      tables.grants.put(createHeldGrant(held, tables.pool, clock.monotonicMs())),
+      tables.grants.put(createInheritedGrant(held, tables.pool, clock.monotonicMs())),
     );
   }
 
@@ -82,7 +82,7 @@
    */
   renew(grantIds: readonly string[]): void {
     const { tables, clock } = this.options;
-    const deadlineMs = clock.monotonicMs() + GRANT_LENGTH_MS;
+    const deadlineMs = clock.monotonicMs() + GRANT_DURATION_MS;
     grantIds
       .flatMap((grantId) => tables.grants.get(grantId) ?? [])
       .forEach((grant) => tables.grants.put({ ...grant, deadlineMs }));
@@ -109,7 +109,7 @@
    * @param finish - Report of the run.
    */
   finish(grant: GrantRow, finish: FinishGrant): void {
-    this.learn(grant, finish);
+    this.recordResult(grant, finish);
     this.remove(grant.grantId);
   }
 
@@ -122,7 +122,7 @@
     this.excludedVms.delete(grantId);
   }
 
-  private learn(grant: GrantRow, finish: FinishGrant): void {
+  private recordResult(grant: GrantRow, finish: FinishGrant): void {
     const { tables, clock, events, explainLog, onSuspect } = this.options;
     const verdicts = recordRun(tables, {
       nowMs: clock.monotonicMs(),
@@ -134,7 +134,7 @@
       usedMemoryMb: finish.usedMemoryMb,
       excludedVms: this.excludedVms.get(grant.grantId) ?? [],
     });
-    verdicts.forEach((verdict) => tellRunVerdict(verdict, { events, explainLog }));
+    verdicts.forEach((verdict) => reportRunVerdict(verdict, { events, explainLog }));
     const isSuspect = finish.result === 'unknown' || finish.result === 'not-started';
     if (isSuspect) onSuspect(grant.vm);
   }
--- a/src/home/PoolHome.ts
+++ b/src/home/PoolHome.ts
@@ -3,10 +3,10 @@
 import { placeQueuedJobs, type PlacementDecision, type WaveProgress } from '../systems/index.js';
 import { PoolTables, type QueuedRow } from '../tables/index.js';
 import { assertNever, type Rng } from '../utils/index.js';
-import { ClaimDesk } from './ClaimDesk.js';
+import { ClaimRegistry } from './ClaimRegistry.js';
 import { ExplainLog } from './ExplainLog.js';
-import { createQueuedRow, type GrantHeldElsewhere } from './grantRows.js';
-import { isUnderWay } from './isUnderWay.js';
+import { createQueuedRow, type InheritedGrant } from './grantRows.js';
+import { isRequestInProgress } from './isRequestInProgress.js';
 import { type FinishGrant, PoolGrants, type PlacedRequest } from './PoolGrants.js';
 import { PoolVms, type PoolVmsOptions } from './PoolVms.js';
 import { type Refusal, refuse } from './Refusal.js';
@@ -19,10 +19,10 @@
   readonly settings: PoolSettings;
   readonly rng: Rng;
   /** Grants that entry instances still hold from an earlier home of the pool. */
-  readonly heldGrants: readonly GrantHeldElsewhere[];
+  readonly heldGrants: readonly InheritedGrant[];
 }
 
-const CLOSED = refuse('home-unavailable', 'The pool is being handed to another home.');
+const CLOSED_REFUSAL = refuse('home-unavailable', 'The pool is being handed to another home.');
 
 /** State and decisions of one pool at its home: queue, grants, claims, VMs and waves. */
 export class PoolHome {
@@ -35,7 +35,7 @@
   /** The pool's VMs, with their waves, moves and drains. */
   readonly vms: PoolVms;
 
-  private readonly claimDesk: ClaimDesk;
+  private readonly claimRegistry: ClaimRegistry;
 
   private readonly waiting: WaitingRequests;
 
@@ -55,7 +55,7 @@
     this.tables = tables;
     this.explainLog = explainLog;
     this.vms = new PoolVms({ ...options, tables });
-    this.claimDesk = new ClaimDesk(options);
+    this.claimRegistry = new ClaimRegistry(options);
     this.waiting = new WaitingRequests({ events, explainLog });
     this.grants = new PoolGrants({
       tables,
@@ -82,15 +82,15 @@
    * @returns The grant or the refusal, once decided.
    */
   requestGrant(entry: string, request: GrantRequest): Promise<PeerReply> {
-    const refusal = this.isClosed ? CLOSED : this.findObstacle(entry, request);
+    const refusal = this.isClosed ? CLOSED_REFUSAL : this.findRefusal(entry, request);
     if (refusal !== undefined) {
-      this.waiting.tellRefusal(request, refusal);
+      this.waiting.reportRefusal(request, refusal);
       return Promise.resolve(refusal);
     }
     const enteredAtMs = this.options.clock.monotonicMs();
     this.tables.queue.put(createQueuedRow(entry, request, this.options.clock));
     const reply = this.waiting.add({ entry, request, enteredAtMs });
-    this.place();
+    this.placeQueued();
     if (this.tables.queue.has(request.attemptId)) {
       const { requestId, jobKind, team } = request;
       this.options.events.write('jobQueued', { requestId, pool: this.tables.pool, jobKind, team });
@@ -105,11 +105,11 @@
    */
   cancelRequest(attemptId: string): void {
     const grant = this.grants.get(attemptId);
-    if (grant !== undefined) this.claimDesk.noteUnsent(grant.requestId);
+    if (grant !== undefined) this.claimRegistry.markUnsent(grant.requestId);
     this.tables.queue.remove(attemptId);
     this.grants.remove(attemptId);
     this.waiting.answer(attemptId, refuse('cancelled', 'The request was withdrawn.'));
-    this.place();
+    this.placeQueued();
   }
 
   /**
@@ -121,10 +121,10 @@
     const grant = this.grants.get(finish.grantId);
     if (grant !== undefined) {
       this.grants.finish(grant, finish);
-      this.place();
+      this.placeQueued();
     }
     if (!finish.isClaimed) return true;
-    return this.claimDesk.settle(finish.requestId, finish.outcome);
+    return this.claimRegistry.settle(finish.requestId, finish.outcome);
   }
 
   /**
@@ -142,32 +142,32 @@
    */
   tick(settings: PoolSettings, fleetProgress: ReadonlyMap<string, WaveProgress>): void {
     this.tables.settings = settings;
-    this.claimDesk.tick();
+    this.claimRegistry.tick();
     this.grants.expire();
     this.vms.tick(fleetProgress);
-    this.place();
+    this.placeQueued();
   }
 
   /** Closes this home; waiting requests are refused at once, so that they reach the next home. */
   close(): void {
     this.isClosed = true;
-    this.waiting.answerAll(CLOSED);
+    this.waiting.answerAll(CLOSED_REFUSAL);
     const { pool, term, events } = this.options;
     events.write('homeClosed', { pool, term });
   }
 
-  private findObstacle(entry: string, request: GrantRequest): Refusal | undefined {
+  private findRefusal(entry: string, request: GrantRequest): Refusal | undefined {
     if (request.idempotent) return undefined;
-    const isWaiting = isUnderWay(request.requestId, this.tables, this.options.fleet);
-    const obstacle = this.claimDesk.findObstacle(entry, request, isWaiting);
-    if (obstacle !== undefined || this.options.holdsLease()) return obstacle;
+    const isInProgress = isRequestInProgress(request.requestId, this.tables, this.options.fleet);
+    const conflict = this.claimRegistry.findConflict(entry, request, isInProgress);
+    if (conflict !== undefined || this.options.holdsLease()) return conflict;
     // While the log is unavailable, this instance cannot know whether another one has become the
     // home. Idempotent requests continue, and requests that must run at most once are refused as
     // not run.
     return refuse('log-unavailable', 'The log does not answer, so the request cannot be claimed.');
   }
 
-  private place(): void {
+  private placeQueued(): void {
     const isIdle = this.tables.queue.size === 0 && this.tables.preemptions.size === 0;
     if (this.isClosed || isIdle) return;
     // Tables that are some ticks old could place work on a VM whose drain is already accepted.
@@ -182,7 +182,7 @@
   private applyPlacement(decision: PlacementDecision): void {
     switch (decision.type) {
       case 'place':
-        this.grant(this.tables.queue.getOrThrow(decision.attemptId), decision);
+        this.startGrant(this.tables.queue.getOrThrow(decision.attemptId), decision);
         break;
       case 'refuse':
         this.refuseQueued(decision);
@@ -198,7 +198,7 @@
     }
   }
 
-  private grant(row: QueuedRow, placed: PlacedRequest): void {
+  private startGrant(row: QueuedRow, placed: PlacedRequest): void {
     const nowMs = this.options.clock.monotonicMs();
     const { attemptId, requestId, pool, team, jobKind } = row;
     const { vm, reason } = placed;
@@ -209,26 +209,26 @@
     const placement = { requestId, pool, vm, team, jobKind, reason, waitedMs };
     this.options.events.write('jobPlaced', placement);
     this.explainLog.note(requestId, `placed on ${vm}: ${reason}`);
-    void this.hand(attemptId, vm);
+    void this.claimAndDeliver(attemptId, vm);
   }
 
   /** Claims the request unless it is idempotent, and sends the grant to its entry instance. */
-  private async hand(attemptId: string, vm: string): Promise<void> {
+  private async claimAndDeliver(attemptId: string, vm: string): Promise<void> {
     const waiting = this.waiting.get(attemptId);
     if (waiting === undefined) {
       this.grants.remove(attemptId);
       return;
     }
     const { entry, request, enteredAtMs } = waiting;
-    const refusal = request.idempotent ? undefined : await this.claimDesk.claim(entry, request);
+    const refusal = request.idempotent ? undefined : await this.claimRegistry.claim(entry, request);
     if (refusal !== undefined) {
       this.grants.remove(attemptId);
-      this.waiting.tellRefusal(request, refusal);
+      this.waiting.reportRefusal(request, refusal);
       this.waiting.answer(attemptId, refusal);
       return;
     }
     if (!request.idempotent && !this.waiting.has(attemptId)) {
-      this.claimDesk.noteUnsent(request.requestId);
+      this.claimRegistry.markUnsent(request.requestId);
       return;
     }
     const { host, port } = this.options.directory.getOrThrow(vm);
--- a/src/home/PoolVms.ts
+++ b/src/home/PoolVms.ts
@@ -86,7 +86,7 @@
       clock,
       events,
       probeEveryMs: PROBE_EVERY_MS,
-      onDraining: (vm) => this.undrainForgotten(vm),
+      onDraining: (vm) => this.undrainIfAccepting(vm),
     });
   }
 
@@ -156,9 +156,9 @@
   /** Updates the tables if the log or the platform's VM list has changed since the last update. */
   syncIfChanged(): void {
     const { fleet, directory } = this.options;
-    const isSame =
+    const isCurrent =
       fleet.nextOffset === this.syncedOffset && directory.version === this.syncedListVersion;
-    if (!isSame) this.sync();
+    if (!isCurrent) this.sync();
   }
 
   /** Updates the tables from the log and the platform's VM list. */
@@ -225,10 +225,10 @@
    * failed and its VM comes back later. No instance then remembers the drain, and the VM refuses
    * every task although the pool counts its slots.
    */
-  private undrainForgotten(vm: string): void {
+  private undrainIfAccepting(vm: string): void {
     this.sync();
-    const isWanted = this.tables.vms.get(vm)?.condition === 'accepting';
-    if (!isWanted || !this.options.holdsLease()) return;
+    const isAccepting = this.tables.vms.get(vm)?.condition === 'accepting';
+    if (!isAccepting || !this.options.holdsLease()) return;
     void this.options.vmPort.undrain(vm).catch(() => undefined);
   }
 }
--- a/src/home/WaitingRequests.ts
+++ b/src/home/WaitingRequests.ts
@@ -17,7 +17,7 @@
   readonly enteredAtMs: number;
 }
 
-interface Waiting extends WaitingRequest {
+interface PendingReply extends WaitingRequest {
   readonly reply: (reply: PeerReply) => void;
 }
 
@@ -25,7 +25,7 @@
 export class WaitingRequests {
   private readonly options: WaitingRequestsOptions;
 
-  private readonly byAttempt = new Map<string, Waiting>();
+  private readonly byAttempt = new Map<string, PendingReply>();
 
   /**
    * Creates an empty collection.
@@ -90,7 +90,7 @@
    */
   refuse(attemptId: string, refusal: Refusal): void {
     const waiting = this.byAttempt.get(attemptId);
-    if (waiting !== undefined) this.tellRefusal(waiting.request, refusal);
+    if (waiting !== undefined) this.reportRefusal(waiting.request, refusal);
     this.answer(attemptId, refusal);
   }
 
@@ -99,7 +99,7 @@
    * @param request - The refused request.
    * @param refusal - The refusal.
    */
-  tellRefusal(request: GrantRequest, refusal: Refusal): void {
+  reportRefusal(request: GrantRequest, refusal: Refusal): void {
     const { requestId, pool, team, jobKind } = request;
     const { kind, message: reason } = refusal;
     const { events, explainLog } = this.options;
--- a/src/home/WaveRunner.ts
+++ b/src/home/WaveRunner.ts
@@ -45,7 +45,7 @@
 }
 
 /** Maximum time to wait until a record about a step is read back from the log. */
-const WRITE_WAIT_MS = 5_000;
+const WRITE_TIMEOUT_MS = 5_000;
 
 async function succeeds(action: Promise<void>): Promise<boolean> {
   try {
@@ -102,7 +102,7 @@
           this.startStep(decision.wave, decision.vm, decision.reason);
           break;
         case 'wait':
-          this.noteWait(decision.wave, decision.reason);
+          this.recordWaitReason(decision.wave, decision.reason);
           break;
         case 'stop-wave':
           this.stopWave(decision.wave, decision.reason);
@@ -119,7 +119,7 @@
     this.options.tables.waveSteps
       .list()
       .filter((step) => step.state === 'intended')
-      .forEach((step) => this.takeUp(step));
+      .forEach((step) => this.resumeStep(step));
     this.steps.forEach((step) => {
       this.actions.start(step.vm, () => this.advance(step));
     });
@@ -133,7 +133,7 @@
       const { tables, instance, term, writer, clock, events } = this.options;
       const { pool } = tables;
       const body = { wave, pool, vm, instance, term, bootId: row.bootId } as const;
-      const deadlineMs = clock.monotonicMs() + WRITE_WAIT_MS;
+      const deadlineMs = clock.monotonicMs() + WRITE_TIMEOUT_MS;
       const result = await writer.write({ type: 'step-intended', ...body }, { deadlineMs });
       if (result.type === 'accepted') events.write('stepStarted', { wave, pool, vm, reason });
       else this.withheld.delete(vm);
@@ -146,7 +146,7 @@
    * An earlier home can have been lost before, during or after the reboot. If the VM's boot id
    * differs from the one in the step, the VM has been rebooted.
    */
-  private takeUp(step: WaveStepRow): void {
+  private resumeStep(step: WaveStepRow): void {
     if (this.steps.has(step.vm)) return;
     const { clock, tables } = this.options;
     const nowMs = clock.monotonicMs();
@@ -159,7 +159,7 @@
       phase: {
         type: 'draining',
         checkpointAtMs: nowMs + tables.settings.maintenance.drainTimeoutMs,
-        giveUpAtMs: this.getRebootEndMs(),
+        giveUpAtMs: this.getRebootDeadlineMs(),
       },
     });
     this.options.events.write('stepDraining', { wave: step.wave, vm: step.vm });
@@ -184,7 +184,7 @@
     const { vmPort, targets, clock, tables, events } = this.options;
     const status = await targets.getStatus(vm);
     if (status === undefined) {
-      await this.giveUpSilent(step, phase);
+      await this.failIfTimedOut(step, phase);
       return;
     }
     if (status.bootId !== step.bootId) {
@@ -192,7 +192,7 @@
       return;
     }
     const isDrained = await succeeds(vmPort.drain(step.vm));
-    this.setPhase(step, { ...phase, giveUpAtMs: this.getRebootEndMs() });
+    this.setPhase(step, { ...phase, giveUpAtMs: this.getRebootDeadlineMs() });
     if (clock.monotonicMs() >= phase.checkpointAtMs) {
       await this.checkpointTasks(vm, status.runningTaskIds);
     }
@@ -217,7 +217,7 @@
    * never came back. Without the deadline this home would wait for the drain forever, and the wave
    * would neither continue nor stop.
    */
-  private async giveUpSilent(step: RunningStep, phase: DrainPhase): Promise<void> {
+  private async failIfTimedOut(step: RunningStep, phase: DrainPhase): Promise<void> {
     if (this.options.clock.monotonicMs() >= phase.giveUpAtMs) await this.finish(step, 'failed');
   }
 
@@ -251,7 +251,7 @@
     const nowMs = clock.monotonicMs();
     const written = await writer.write(
       { type: 'step-finished', wave, pool, vm, instance, term, result },
-      { deadlineMs: nowMs + WRITE_WAIT_MS },
+      { deadlineMs: nowMs + WRITE_TIMEOUT_MS },
     );
     if (written.type !== 'accepted') return;
     this.steps.delete(vm);
@@ -262,11 +262,11 @@
   }
 
   private createRebootPhase(): StepPhase {
-    return { type: 'rebooting', giveUpAtMs: this.getRebootEndMs() };
+    return { type: 'rebooting', giveUpAtMs: this.getRebootDeadlineMs() };
   }
 
   /** Monotonic time by which a VM that is rebooted now must answer again. */
-  private getRebootEndMs(): number {
+  private getRebootDeadlineMs(): number {
     const { clock, tables } = this.options;
     return clock.monotonicMs() + tables.settings.maintenance.rebootTimeoutMs;
   }
@@ -275,7 +275,7 @@
     this.steps.set(step.vm, { ...step, phase });
   }
 
-  private noteWait(wave: string, reason: string): void {
+  private recordWaitReason(wave: string, reason: string): void {
     if (this.waitReasons.get(wave) === reason) return;
     this.waitReasons.set(wave, reason);
     this.options.events.write('waveWaiting', { wave, pool: this.options.tables.pool, reason });
@@ -284,7 +284,7 @@
   private stopWave(wave: string, reason: string): void {
     const { writer, clock, events, tables } = this.options;
     this.actions.start(`stop ${wave}`, async () => {
-      const deadlineMs = clock.monotonicMs() + WRITE_WAIT_MS;
+      const deadlineMs = clock.monotonicMs() + WRITE_TIMEOUT_MS;
       const result = await writer.write({ type: 'wave-paused', wave, reason }, { deadlineMs });
       if (result.type !== 'accepted') return;
       events.write('waveStopped', { wave, pool: tables.pool, reason });
--- a/src/home/grantRows.ts
+++ b/src/home/grantRows.ts
@@ -4,10 +4,10 @@
 import type { Clock } from '../utils/index.js';
 
 /** How long a grant is valid unless its entry instance renews it. */
-export const GRANT_LENGTH_MS = 6_000;
+export const GRANT_DURATION_MS = 6_000;
 
 /** A grant that an entry instance still holds from an earlier home. */
-export interface GrantHeldElsewhere extends HeldGrant {
+export interface InheritedGrant extends HeldGrant {
   readonly entry: string;
 }
 
@@ -23,8 +23,8 @@
   const { coreCount, memoryMb, deadlineAtMs } = request;
   const queuedAtMs = clock.monotonicMs();
   const deadlineMs = queuedAtMs + deadlineAtMs - clock.wallMs();
-  const who = { attemptId, requestId, entry, pool, team, jobKind, urgency };
-  return { ...who, coreCount, memoryMb, queuedAtMs, deadlineMs, excludedVms };
+  const identity = { attemptId, requestId, entry, pool, team, jobKind, urgency };
+  return { ...identity, coreCount, memoryMb, queuedAtMs, deadlineMs, excludedVms };
 }
 
 /**
@@ -41,9 +41,9 @@
 ): GrantRow {
   const { attemptId, requestId, entry, pool, team, jobKind, urgency } = row;
   const { vm, coreCount, memoryMb } = placed;
-  const who = { grantId: attemptId, requestId, entry, pool, team, jobKind, urgency };
-  const deadlineMs = nowMs + GRANT_LENGTH_MS;
-  return { ...who, vm, coreCount, memoryMb, grantedAtMs: nowMs, deadlineMs };
+  const identity = { grantId: attemptId, requestId, entry, pool, team, jobKind, urgency };
+  const deadlineMs = nowMs + GRANT_DURATION_MS;
+  return { ...identity, vm, coreCount, memoryMb, grantedAtMs: nowMs, deadlineMs };
 }
 
 /**
@@ -53,6 +53,6 @@
  * @param nowMs - Monotonic time.
  * @returns The grant.
  */
-export function createHeldGrant(held: GrantHeldElsewhere, pool: string, nowMs: number): GrantRow {
-  return { ...held, pool, grantedAtMs: nowMs, deadlineMs: nowMs + GRANT_LENGTH_MS };
+export function createInheritedGrant(held: InheritedGrant, pool: string, nowMs: number): GrantRow {
+  return { ...held, pool, grantedAtMs: nowMs, deadlineMs: nowMs + GRANT_DURATION_MS };
 }
--- a/src/home/index.ts
+++ b/src/home/index.ts
@@ -1,7 +1,13 @@
-export { ClaimDesk, type ClaimDeskOptions } from './ClaimDesk.js';
+export {
+  ClaimRegistry as ClaimRegistry,
+  type ClaimRegistryOptions as ClaimRegistryOptions,
+} from './ClaimRegistry.js';
 export type { Refusal } from './Refusal.js';
 export { ExplainLog } from './ExplainLog.js';
-export { GRANT_LENGTH_MS, type GrantHeldElsewhere } from './grantRows.js';
+export {
+  GRANT_DURATION_MS as GRANT_DURATION_MS,
+  type InheritedGrant as InheritedGrant,
+} from './grantRows.js';
 export { PoolHome, type PoolHomeOptions } from './PoolHome.js';
 export { PoolVms, type PoolState, type PoolVmsOptions } from './PoolVms.js';
 export { VmProber } from './VmProber.js';
--- a/src/home/isUnderWay.ts
+++ b/src/home/isRequestInProgress.ts
@@ -7,7 +7,11 @@
  * @param fleet - Tables with the instances.
  * @returns Whether the request is under way.
  */
-export function isUnderWay(requestId: string, tables: PoolTables, fleet: FleetTables): boolean {
+export function isRequestInProgress(
+  requestId: string,
+  tables: PoolTables,
+  fleet: FleetTables,
+): boolean {
   return [...tables.queue.list(), ...tables.grants.list()]
     .filter((row) => row.requestId === requestId)
     .some((row) => fleet.instances.get(row.entry)?.state === 'joined');
--- a/src/home/tellRunVerdict.ts
+++ b/src/home/reportRunVerdict.ts
@@ -4,7 +4,7 @@
 import type { ExplainLog } from './ExplainLog.js';
 
 /** Logs that record the verdict on a run. */
-export interface RunVerdictTellers {
+export interface RunVerdictLogs {
   readonly events: EventLog;
   readonly explainLog: ExplainLog;
 }
@@ -14,9 +14,9 @@
  * @param verdict - The verdict.
  * @param logs - The event log and the explain log.
  */
-export function tellRunVerdict(
+export function reportRunVerdict(
   verdict: RunVerdict,
-  { events, explainLog }: RunVerdictTellers,
+  { events, explainLog }: RunVerdictLogs,
 ): void {
   switch (verdict.type) {
     case 'quarantine':
--- a/src/membership/HeldLease.ts
+++ b/src/membership/HeldLease.ts
@@ -41,9 +41,9 @@
    */
   extend(sentAt: { readonly monotonicMs: number; readonly wallMs: number }): void {
     const { leaseMs, marginMs } = this.options.timing;
-    const lengthMs = leaseMs - marginMs;
-    this.monotonicDeadlineMs = Math.max(this.monotonicDeadlineMs, sentAt.monotonicMs + lengthMs);
-    this.wallDeadlineMs = Math.max(this.wallDeadlineMs, sentAt.wallMs + lengthMs);
+    const durationMs = leaseMs - marginMs;
+    this.monotonicDeadlineMs = Math.max(this.monotonicDeadlineMs, sentAt.monotonicMs + durationMs);
+    this.wallDeadlineMs = Math.max(this.wallDeadlineMs, sentAt.wallMs + durationMs);
   }
 
   /** Gives up the lease immediately. */
--- a/src/membership/HomeKeeper.ts
+++ b/src/membership/HomePlanner.ts
@@ -6,8 +6,8 @@
   | { readonly type: 'claim'; readonly pool: string; readonly expectedTerm: number }
   | { readonly type: 'release'; readonly pool: string; readonly term: number };
 
-/** Options of {@link HomeKeeper}. */
-export interface HomeKeeperOptions {
+/** Options of {@link HomePlanner}. */
+export interface HomePlannerOptions {
   /** This instance. */
   readonly instance: string;
   /** Additional time that a candidate waits to claim for each candidate ranked before it. */
@@ -16,17 +16,17 @@
   readonly settleMs: number;
 }
 
-function keepTimes(
-  known: ReadonlyMap<string, number>,
+function updateStartTimes(
+  previousTimes: ReadonlyMap<string, number>,
   names: readonly string[],
   nowMs: number,
 ): ReadonlyMap<string, number> {
-  return new Map(names.map((name) => [name, known.get(name) ?? nowMs]));
+  return new Map(names.map((name) => [name, previousTimes.get(name) ?? nowMs]));
 }
 
 /** Decides which pools this instance should claim, and which it should release. */
-export class HomeKeeper {
-  private readonly options: HomeKeeperOptions;
+export class HomePlanner {
+  private readonly options: HomePlannerOptions;
 
   private vacantSinceMs: ReadonlyMap<string, number> = new Map();
 
@@ -36,7 +36,7 @@
    * Creates a planner.
    * @param options - Name of this instance and waiting times.
    */
-  constructor(options: HomeKeeperOptions) {
+  constructor(options: HomePlannerOptions) {
     this.options = options;
   }
 
@@ -52,9 +52,9 @@
       .list()
       .filter((row) => row.state === 'joined')
       .map((row) => row.instance);
-    this.joinedSinceMs = keepTimes(this.joinedSinceMs, joined, nowMs);
+    this.joinedSinceMs = updateStartTimes(this.joinedSinceMs, joined, nowMs);
     const vacant = homes.filter((row) => row.instance === undefined).map((row) => row.pool);
-    this.vacantSinceMs = keepTimes(this.vacantSinceMs, vacant, nowMs);
+    this.vacantSinceMs = updateStartTimes(this.vacantSinceMs, vacant, nowMs);
     if (!joined.includes(this.options.instance)) return [];
     return homes.flatMap((home) => this.decideFor(home, joined, nowMs));
   }
--- a/src/membership/LapseWatch.ts
+++ b/src/membership/LapseDetector.ts
@@ -8,8 +8,8 @@
   readonly observedRenewalOffset: number;
 }
 
-/** Options of {@link LapseWatch}. */
-export interface LapseWatchOptions {
+/** Options of {@link LapseDetector}. */
+export interface LapseDetectorOptions {
   /** This instance. */
   readonly instance: string;
   readonly timing: LeaseTiming;
@@ -22,8 +22,8 @@
 }
 
 /** Detects other instances whose leases were not renewed in time. */
-export class LapseWatch {
-  private readonly options: LapseWatchOptions;
+export class LapseDetector {
+  private readonly options: LapseDetectorOptions;
 
   private observations: ReadonlyMap<string, Observation> = new Map();
 
@@ -31,7 +31,7 @@
    * Creates a detector without observations.
    * @param options - Name of this instance and lease timing.
    */
-  constructor(options: LapseWatchOptions) {
+  constructor(options: LapseDetectorOptions) {
     this.options = options;
   }
 
@@ -68,8 +68,8 @@
   }
 
   private observe(row: InstanceRow, nowMs: number): Observation {
-    const known = this.observations.get(row.instance);
-    if (known?.renewalOffset === row.renewalOffset) return known;
+    const previous = this.observations.get(row.instance);
+    if (previous?.renewalOffset === row.renewalOffset) return previous;
     return { renewalOffset: row.renewalOffset, sinceMs: nowMs };
   }
 
--- a/src/membership/Membership.ts
+++ b/src/membership/Membership.ts
@@ -4,7 +4,7 @@
 import type { FleetTables, InstanceRow } from '../tables/index.js';
 import { type Clock, KeyedOnce } from '../utils/index.js';
 import { HeldLease } from './HeldLease.js';
-import { LapseWatch } from './LapseWatch.js';
+import { LapseDetector } from './LapseDetector.js';
 import type { LeaseTiming } from './LeaseTiming.js';
 
 /** Options of {@link Membership}. */
@@ -30,7 +30,7 @@
 
   private readonly lease: HeldLease;
 
-  private readonly lapseWatch: LapseWatch;
+  private readonly lapseDetector: LapseDetector;
 
   private readonly writes = new KeyedOnce();
 
@@ -50,7 +50,7 @@
     this.options = options;
     const { clock, timing } = options;
     this.lease = new HeldLease({ clock, timing });
-    this.lapseWatch = new LapseWatch({ instance: options.self.instance, timing });
+    this.lapseDetector = new LapseDetector({ instance: options.self.instance, timing });
   }
 
   /**
@@ -131,13 +131,13 @@
     const { tables, clock, writer, timing, self, events, getReadToEndAtMs } = this.options;
     const readToEndAtMs = getReadToEndAtMs();
     if (readToEndAtMs === undefined) {
-      this.lapseWatch.restart();
+      this.lapseDetector.restart();
       return;
     }
     const nowMs = clock.monotonicMs();
     if (!this.lease.isHeld()) return;
     const deadlineMs = nowMs + timing.leaseMs;
-    this.lapseWatch.findLapsed(tables.instances, readToEndAtMs, nowMs).forEach((lapsed) => {
+    this.lapseDetector.findLapsed(tables.instances, readToEndAtMs, nowMs).forEach((lapsed) => {
       this.writes.start(lapsed.instance, async () => {
         const body = { type: 'instance-lapsed', ...lapsed, by: self.instance } as const;
         const result = await writer.write(body, { deadlineMs });
--- a/tests/home/ClaimDesk.test.ts
+++ b/tests/home/ClaimRegistry.test.ts
@@ -1,5 +1,5 @@
 import { afterEach, describe, expect, it } from 'vitest';
-import { ClaimDesk } from '../../src/home/index.js';
+import { ClaimRegistry } from '../../src/home/index.js';
 import type { GrantRequest } from '../../src/peers/index.js';
 import { createInstance } from '../log/support/createInstance.js';
 import { MemoryLog } from '../log/support/MemoryLog.js';
@@ -37,17 +37,17 @@
   await instance.writer.write(body, { deadlineMs: DEADLINE_MS });
 }
 
-async function openDesk(instance: Instance, name: string, expectedTerm: number) {
+async function openRegistry(instance: Instance, name: string, expectedTerm: number) {
   const { tables: fleet, writer, clock, events } = instance;
   await writer.write(
     { type: 'home-claimed', pool: POOL, instance: name, expectedTerm },
     { deadlineMs: DEADLINE_MS },
   );
   const term = expectedTerm + 1;
-  return new ClaimDesk({ pool: POOL, instance: name, term, fleet, writer, clock, events });
+  return new ClaimRegistry({ pool: POOL, instance: name, term, fleet, writer, clock, events });
 }
 
-async function createWorld() {
+async function createFixture() {
   const log = new MemoryLog();
   const a = start(log, 'a');
   await a.writer.write(
@@ -55,7 +55,7 @@
     { deadlineMs: DEADLINE_MS },
   );
   await join(a, 'a');
-  return { log, a, desk: await openDesk(a, 'a', 0) };
+  return { log, a, desk: await openRegistry(a, 'a', 0) };
 }
 
 function createRequest(requestId: string, fingerprint = 'same'): GrantRequest {
@@ -83,18 +83,18 @@
 describe('ClaimDesk', () => {
   describe('claim', () => {
     it('lets a first request pass and settles it', async () => {
-      const { desk } = await createWorld();
+      const { desk } = await createFixture();
       const request = createRequest('r1');
       expect(await desk.claim('a', request)).toBeUndefined();
       expect(await desk.settle('r1', 'run')).toBe(true);
-      expect(desk.findObstacle('a', request, false)).toMatchObject({ kind: 'already-run' });
+      expect(desk.findConflict('a', request, false)).toMatchObject({ kind: 'already-run' });
     });
 
     // Guards against a request that runs twice: a home is paused until its lease has expired, and
     // the request runs through the new home. The old home resumes without knowing this and gets a
     // retry of the request from another entry VM. Its claim carries the old term.
     it('refuses through a home that was taken over while it was frozen', async () => {
-      const { log, a, desk } = await createWorld();
+      const { log, a, desk } = await createFixture();
       const b = start(log, 'b');
       await join(b, 'b');
       const { renewalOffset } = b.tables.instances.getOrThrow('a');
@@ -108,11 +108,11 @@
         },
         { deadlineMs: DEADLINE_MS },
       );
-      const later = await openDesk(b, 'b', 1);
+      const later = await openRegistry(b, 'b', 1);
       expect(await later.claim('b', createRequest('r1'))).toBeUndefined();
       const thawed = start(log, 'a2');
       const { tables: fleet, writer, clock, events } = thawed;
-      const stale = new ClaimDesk({
+      const stale = new ClaimRegistry({
         pool: POOL,
         instance: 'a',
         term: 1,
@@ -121,7 +121,7 @@
         clock,
         events,
       });
-      expect(desk.findObstacle('a', createRequest('r1'), false)).toBeUndefined();
+      expect(desk.findConflict('a', createRequest('r1'), false)).toBeUndefined();
       expect(await stale.claim('a', createRequest('r1'))).toMatchObject({
         type: 'refused',
         kind: 'home-unavailable',
@@ -133,7 +133,7 @@
     // the outage, the request must neither be blocked forever nor run under a claim that is being
     // settled as not run.
     it('frees a request whose claim was lost, before it lets a repeat pass', async () => {
-      const { log, a, desk } = await createWorld();
+      const { log, a, desk } = await createFixture();
       const request = createRequest('r1');
       log.appendFault = 'lose-answer';
       log.readFault = 'refuse';
@@ -155,24 +155,24 @@
     // and the answer. The caller retries at another entry VM, and it is unknown whether the target
     // has run the request.
     it('calls a request unknown whose entry instance is gone', async () => {
-      const { log, a, desk } = await createWorld();
+      const { log, a, desk } = await createFixture();
       const b = start(log, 'b');
       await join(b, 'b');
       await desk.claim('b', createRequest('r1'));
-      expect(desk.findObstacle('a', createRequest('r1'), false)).toMatchObject({
+      expect(desk.findConflict('a', createRequest('r1'), false)).toMatchObject({
         kind: 'already-running',
       });
       await b.writer.write({ type: 'instance-left', instance: 'b' }, { deadlineMs: DEADLINE_MS });
       await expect.poll(() => a.tables.instances.get('b')?.state).toBe('left');
-      expect(desk.findObstacle('a', createRequest('r1'), false)).toMatchObject({
+      expect(desk.findConflict('a', createRequest('r1'), false)).toMatchObject({
         kind: 'outcome-unknown',
       });
     });
 
     it('refuses another request under the same id', async () => {
-      const { desk } = await createWorld();
+      const { desk } = await createFixture();
       await desk.claim('a', createRequest('r1'));
-      expect(desk.findObstacle('a', createRequest('r1', 'other'), false)).toMatchObject({
+      expect(desk.findConflict('a', createRequest('r1', 'other'), false)).toMatchObject({
         kind: 'request-id-reused',
       });
     });
--- a/tests/home/PoolGrants.test.ts
+++ b/tests/home/PoolGrants.test.ts
@@ -1,5 +1,5 @@
 import { beforeEach, describe, expect, it } from 'vitest';
-import { ExplainLog, GRANT_LENGTH_MS } from '../../src/home/index.js';
+import { ExplainLog, GRANT_DURATION_MS } from '../../src/home/index.js';
 import { type FinishGrant, PoolGrants } from '../../src/home/PoolGrants.js';
 import { MemoryEventLog } from '../../src/logging/index.js';
 import type { PoolTables } from '../../src/tables/index.js';
@@ -58,7 +58,7 @@
   it('ends a grant that its entry instance does not renew', () => {
     begin('g1');
     begin('g2');
-    clock.advance(GRANT_LENGTH_MS - 1);
+    clock.advance(GRANT_DURATION_MS - 1);
     grants.expire();
     grants.renew(['g1', 'unknown']);
     clock.advance(1);
@@ -71,7 +71,7 @@
   it('keeps a grant that is still on its way to its entry instance', () => {
     begin('g1');
     waitingIds.add('g1');
-    clock.advance(2 * GRANT_LENGTH_MS);
+    clock.advance(2 * GRANT_DURATION_MS);
     grants.expire();
     expect(grants.get('g1')).toBeDefined();
     waitingIds.clear();
@@ -96,6 +96,6 @@
     clock.advance(5_000);
     const { attemptId, queuedAtMs, deadlineMs, excludedVms, ...request } = makeRequest('g1');
     grants.adopt([{ ...request, grantId: attemptId, vm: VM }]);
-    expect(grants.get('g1')).toMatchObject({ pool: POOL, deadlineMs: 5_000 + GRANT_LENGTH_MS });
+    expect(grants.get('g1')).toMatchObject({ pool: POOL, deadlineMs: 5_000 + GRANT_DURATION_MS });
   });
 });
--- a/tests/membership/HomeKeeper.test.ts
+++ b/tests/membership/HomePlanner.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { HomeKeeper } from '../../src/membership/index.js';
+import { HomePlanner } from '../../src/membership/index.js';
 import { FleetTables } from '../../src/tables/index.js';
 import { rankByRendezvous } from '../../src/utils/index.js';
 
@@ -16,15 +16,15 @@
   return fleet;
 }
 
-function createKeeper(instance: string): HomeKeeper {
-  return new HomeKeeper({ instance, candidateStepMs: 500, settleMs: 2_000 });
+function createPlanner(instance: string): HomePlanner {
+  return new HomePlanner({ instance, candidateStepMs: 500, settleMs: 2_000 });
 }
 
 describe('HomeKeeper', () => {
   describe('decide', () => {
     it('gives every vacant pool to exactly one instance at once', () => {
       const fleet = createFleet(NAMES);
-      const claimed = NAMES.flatMap((name) => createKeeper(name).decide(fleet, 0));
+      const claimed = NAMES.flatMap((name) => createPlanner(name).decide(fleet, 0));
       expect(claimed.map(({ pool }) => pool).toSorted()).toEqual(POOLS.toSorted());
     });
 
@@ -32,14 +32,14 @@
     // claim must not stay vacant until then.
     it('lets the next candidate claim when the first one does not', () => {
       const fleet = createFleet(NAMES);
-      const keeper = createKeeper('a');
+      const keeper = createPlanner('a');
       keeper.decide(fleet, 0);
       expect(keeper.decide(fleet, 1_000)).toHaveLength(POOLS.length);
     });
 
     it('hands on only the pools of an instance that joined, once it has settled', () => {
       const fleet = createFleet(NAMES, 'a');
-      const keeper = createKeeper('a');
+      const keeper = createPlanner('a');
       expect(keeper.decide(fleet, 0)).toEqual([]);
       const released = keeper.decide(fleet, 2_000).map(({ pool }) => pool);
       const owed = POOLS.filter((pool) => rankByRendezvous(pool, NAMES)[0] !== 'a');
@@ -47,7 +47,7 @@
     });
 
     it('decides nothing while this instance is not joined', () => {
-      expect(createKeeper('z').decide(createFleet(NAMES), 0)).toEqual([]);
+      expect(createPlanner('z').decide(createFleet(NAMES), 0)).toEqual([]);
     });
   });
 });
--- a/tests/membership/LapseWatch.test.ts
+++ b/tests/membership/LapseDetector.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { LapseWatch, type LeaseTiming } from '../../src/membership/index.js';
+import { LapseDetector, type LeaseTiming } from '../../src/membership/index.js';
 import { FleetTables } from '../../src/tables/index.js';
 
 const TIMING: LeaseTiming = {
@@ -21,15 +21,15 @@
   return fleet;
 }
 
-function createWatch(): LapseWatch {
-  return new LapseWatch({ instance: 'a', timing: TIMING });
+function createDetector(): LapseDetector {
+  return new LapseDetector({ instance: 'a', timing: TIMING });
 }
 
 describe('LapseWatch', () => {
   describe('findLapsed', () => {
     it('names an instance that renewed nothing for a whole lease, with what was seen of it', () => {
       const fleet = createFleet();
-      const watch = createWatch();
+      const watch = createDetector();
       expect(watch.findLapsed(fleet.instances, 0, 0)).toEqual([]);
       expect(watch.findLapsed(fleet.instances, WAIT_MS - 1, WAIT_MS)).toEqual([]);
       expect(watch.findLapsed(fleet.instances, WAIT_MS, WAIT_MS)).toEqual([
@@ -39,7 +39,7 @@
 
     it('starts the wait anew with each renewal', () => {
       const fleet = createFleet();
-      const watch = createWatch();
+      const watch = createDetector();
       watch.findLapsed(fleet.instances, 0, 0);
       joinAt(fleet, 'b', 9);
       watch.findLapsed(fleet.instances, 4_000, 4_000);
@@ -50,7 +50,7 @@
     // that reached the log's end was sent three seconds ago, and the log holds an unread renewal.
     it('counts only to the last read that reached the end of the log', () => {
       const fleet = createFleet();
-      const watch = createWatch();
+      const watch = createDetector();
       watch.findLapsed(fleet.instances, 0, 0);
       expect(watch.findLapsed(fleet.instances, 3_000, 6_000)).toEqual([]);
     });
@@ -61,7 +61,7 @@
     // afterwards would end the leases of all others, and every pool would change homes.
     it('gives everyone a whole lease again after an outage of the log', () => {
       const fleet = createFleet();
-      const watch = createWatch();
+      const watch = createDetector();
       watch.findLapsed(fleet.instances, 0, 0);
       watch.restart();
       watch.findLapsed(fleet.instances, 60_000, 60_000);
