--- a/bench/jobs/HeldTargets.ts
+++ b/bench/jobs/HeldTargets.ts
@@ -3,7 +3,7 @@
   LeasedTargetAddress,
   LeasedTargetPort,
   LeaseRenewal,
-  OrderAnswer,
+  CommandAnswer,
   StartAnswer,
   TaskStart,
 } from '../../src/targets/index.js';
@@ -47,12 +47,12 @@
   }
 
   /** {@inheritDoc LeasedTargetPort.stop} */
-  async stop(): Promise<OrderAnswer> {
+  async stop(): Promise<CommandAnswer> {
     return this.accept();
   }
 
   /** {@inheritDoc LeasedTargetPort.pace} */
-  async pace(): Promise<OrderAnswer> {
+  async pace(): Promise<CommandAnswer> {
     return this.accept();
   }
 
@@ -72,7 +72,7 @@
     this.targets.delete(targetId);
   }
 
-  private accept(): OrderAnswer {
+  private accept(): CommandAnswer {
     this.orderCount += 1;
     return { type: 'accepted' };
   }
--- a/src/fleetHome/PoolPeakRecord.ts
+++ b/src/fleetHome/PoolPeakRecord.ts
@@ -1,5 +1,5 @@
 import { z } from 'zod';
-import { decodeRecordOf, encodeRecordValue, type KeyedRecord } from '../store/index.js';
+import { decodeRecordWithPrefix, encodeRecordValue, type KeyedRecord } from '../store/index.js';
 import type { PoolPeak } from '../systems/index.js';
 
 const PREFIX = 'pool-peak/';
@@ -25,5 +25,5 @@
  * @throws RattanliftError Of kind `internal` if the record is malformed.
  */
 export function decodePoolPeakRecord(record: KeyedRecord): PoolPeak | undefined {
-  return decodeRecordOf(PREFIX, recordSchema, record);
+  return decodeRecordWithPrefix(PREFIX, recordSchema, record);
 }
--- a/src/fleetHome/VmOrderRecord.ts
+++ b/src/fleetHome/VmOrderRecord.ts
@@ -1,5 +1,5 @@
 import { z } from 'zod';
-import { decodeRecordOf, encodeRecordValue, type KeyedRecord } from '../store/index.js';
+import { decodeRecordWithPrefix, encodeRecordValue, type KeyedRecord } from '../store/index.js';
 
 /** Stored form of the latest order for a VM; written before the order is issued. */
 export interface VmOrderRecord {
@@ -43,5 +43,5 @@
  * @throws RattanliftError Of kind `internal` if the record is malformed.
  */
 export function decodeVmOrderRecord(record: KeyedRecord): VmOrderRecord | undefined {
-  return decodeRecordOf(PREFIX, recordSchema, record);
+  return decodeRecordWithPrefix(PREFIX, recordSchema, record);
 }
--- a/src/fleetHome/WaveRecord.ts
+++ b/src/fleetHome/WaveRecord.ts
@@ -1,5 +1,5 @@
 import { z } from 'zod';
-import { decodeRecordOf, encodeRecordValue, type KeyedRecord } from '../store/index.js';
+import { decodeRecordWithPrefix, encodeRecordValue, type KeyedRecord } from '../store/index.js';
 
 /** Status of a wave as published to operators. */
 export type WaveStatus = 'running' | 'completed';
@@ -44,5 +44,5 @@
  * @throws RattanliftError Of kind `internal` if the record is malformed.
  */
 export function decodeWaveRecord(record: KeyedRecord): WaveRecord | undefined {
-  return decodeRecordOf(PREFIX, recordSchema, record);
+  return decodeRecordWithPrefix(PREFIX, recordSchema, record);
 }
--- a/src/peers/FrameDecoder.ts
+++ b/src/peers/FrameDecoder.ts
@@ -34,10 +34,10 @@
     this.chunks.push(chunk);
     this.bufferedBytes += chunk.length;
     if (this.bufferedBytes < this.neededBytes) return [];
-    return this.takeFrames();
+    return this.extractFrames();
   }
 
-  private takeFrames(): readonly PeerFrame[] {
+  private extractFrames(): readonly PeerFrame[] {
     const frames: PeerFrame[] = [];
     const bytes = this.chunks.length === 1 ? this.chunks[0]! : Buffer.concat(this.chunks);
     let position = 0;
--- a/src/peers/PeerClient.ts
+++ b/src/peers/PeerClient.ts
@@ -7,7 +7,7 @@
 import type { PeerAddress, PeerPort, PeerReply, PeerRequest } from './PeerMessage.js';
 
 /** Number of links from which on idle links, such as those of gone instances, are removed. */
-const MAX_IDLE_LINKS = 64;
+const LINK_CLEANUP_THRESHOLD = 64;
 
 const DEFAULT_REOPEN: ReopenOptions = { reopenMinMs: 50, reopenMaxMs: 1000 };
 
@@ -28,7 +28,7 @@
 
   private readonly links = new Map<string, PeerLink>();
 
-  private readonly ownClock = new SystemClock();
+  private readonly systemClock = new SystemClock();
 
   private closed = false;
 
@@ -43,18 +43,18 @@
   /** {@inheritDoc PeerPort.call} */
   async call(peer: PeerAddress, request: PeerRequest, waitMs: number): Promise<PeerReply> {
     if (this.closed) throwError('peer-unavailable', 'The client is closed.');
-    const { metrics = new NoMetrics(), clock = this.ownClock } = this.options;
+    const { metrics = new NoMetrics(), clock = this.systemClock } = this.options;
     const calledAtMs = clock.monotonicMs();
-    const measure = (result: string): void => {
-      const tookMs = clock.monotonicMs() - calledAtMs;
-      metrics.timing('peer_call_ms', tookMs, { type: request.type, result });
+    const recordDuration = (result: string): void => {
+      const durationMs = clock.monotonicMs() - calledAtMs;
+      metrics.timing('peer_call_ms', durationMs, { type: request.type, result });
     };
     try {
       const reply = await this.getLink(peer).call(request, waitMs);
-      measure(reply.type);
+      recordDuration(reply.type);
       return reply;
     } catch (thrown) {
-      measure('failed');
+      recordDuration('failed');
       throw thrown;
     }
   }
@@ -68,9 +68,9 @@
 
   private getLink(peer: PeerAddress): PeerLink {
     const key = `${peer.instance} ${peer.host}:${peer.port}`;
-    const known = this.links.get(key);
-    if (known) return known;
-    if (this.links.size >= MAX_IDLE_LINKS) this.forgetIdleLinks();
+    const existing = this.links.get(key);
+    if (existing) return existing;
+    if (this.links.size >= LINK_CLEANUP_THRESHOLD) this.removeIdleLinks();
     const link = this.createLink(peer);
     this.links.set(key, link);
     return link;
@@ -82,7 +82,7 @@
     return new PeerLink({ instance, peer, events, heartbeat, reopen });
   }
 
-  private forgetIdleLinks(): void {
+  private removeIdleLinks(): void {
     this.links.forEach((link, key) => {
       if (link.idle) this.links.delete(key);
     });
--- a/src/peers/PeerConnection.ts
+++ b/src/peers/PeerConnection.ts
@@ -44,7 +44,7 @@
 
   private silentHeartbeatCount = 0;
 
-  private receivedCount = 0;
+  private chunkCount = 0;
 
   private closure: ConnectionClosure | undefined;
 
@@ -61,14 +61,14 @@
     socket.on('data', (chunk) => this.receive(chunk));
     socket.on('error', (error) => this.close(error.message));
     socket.on('close', () => this.finish());
-    this.heartbeat = setInterval(() => this.beat(), heartbeat.heartbeatMs);
+    this.heartbeat = setInterval(() => this.onHeartbeat(), heartbeat.heartbeatMs);
   }
 
   /**
    * Allocates a number for a hello or a ping of this end.
    * @returns The number.
    */
-  takeNumber(): number {
+  allocateNumber(): number {
     this.lastNumber += 1;
     return this.lastNumber;
   }
@@ -81,19 +81,19 @@
   send(frame: PeerFrame): void {
     const { socket } = this.options;
     if (socket.destroyed) return;
-    this.corkForTurn();
+    this.batchWrites();
     socket.write(encodeFrame(frame));
     if (socket.writableLength > MAX_BUFFERED_BYTES) this.close('the peer reads too slowly');
   }
 
   /** Number of received chunks; a silent peer does not increase it. */
-  get arrivalCount(): number {
-    return this.receivedCount;
+  get receivedChunkCount(): number {
+    return this.chunkCount;
   }
 
   /** Sends a ping, which the peer answers with a pong. */
   ping(): void {
-    this.send({ kind: 'ping', number: this.takeNumber() });
+    this.send({ kind: 'ping', number: this.allocateNumber() });
   }
 
   /**
@@ -124,7 +124,7 @@
   }
 
   /** Batches the frames of an event loop turn: a home starts tens of tasks in one turn. */
-  private corkForTurn(): void {
+  private batchWrites(): void {
     const { socket } = this.options;
     if (this.isCorked) return;
     this.isCorked = true;
@@ -144,7 +144,7 @@
 
   private receive(chunk: Buffer): void {
     this.silentHeartbeatCount = 0;
-    this.receivedCount += 1;
+    this.chunkCount += 1;
     try {
       this.decoder.push(chunk).forEach((frame) => this.dispatch(frame));
     } catch (thrown) {
@@ -164,7 +164,7 @@
    * ping when they receive nothing, so only a broken path stays silent. Heartbeats are counted
    * rather than timed: a process that was suspended sees one late heartbeat, not three missed ones.
    */
-  private beat(): void {
+  private onHeartbeat(): void {
     const { socket, heartbeat } = this.options;
     if (this.silentHeartbeatCount >= heartbeat.silentHeartbeatLimit) {
       this.close('the peer is silent');
--- a/src/peers/PeerLink.ts
+++ b/src/peers/PeerLink.ts
@@ -47,7 +47,7 @@
   /** Pings the peer; undefined if the call's wait is too short for a pong to arrive. */
   readonly pingTimer: NodeJS.Timeout | undefined;
   /** Connection that carried the call, and its chunk count at that time; absent if unsent. */
-  sentAfter?: { readonly connection: PeerConnection; readonly arrivalCount: number };
+  sentOn?: { readonly connection: PeerConnection; readonly receivedChunkCount: number };
 }
 
 /**
@@ -63,7 +63,7 @@
   private connected = false;
 
   /** Whether the peer has confirmed its instance id. */
-  private greeted = false;
+  private isPeerConfirmed = false;
 
   private failureCount = 0;
 
@@ -110,11 +110,11 @@
       const timer = setTimeout(expire, Math.min(waitMs, MAX_TIMER_MS));
       const mayPing = waitMs >= PING_AFTER_MS + MIN_PONG_WAIT_MS;
       const pingTimer = mayPing
-        ? setTimeout(() => this.pingSilent(number), PING_AFTER_MS)
+        ? setTimeout(() => this.pingIfSilent(number), PING_AFTER_MS)
         : undefined;
       this.calls.set(number, { request, resolve, reject, timer, pingTimer });
       this.unsent.add(number);
-      if (this.connected) this.sendAll();
+      if (this.connected) this.sendUnsentCalls();
       else if (!this.connection && !this.reopenTimer) this.open();
     });
   }
@@ -122,7 +122,7 @@
   /** Closes the connection and fails every call. */
   stop(): void {
     this.connection?.close('this instance stops');
-    this.failAll('this instance stops');
+    this.rejectAllCalls('this instance stops');
     clearTimeout(this.reopenTimer);
   }
 
@@ -135,20 +135,20 @@
       onFrame: (frame) => this.receive(frame),
       onClosed: (closure) => this.finish(closure),
     });
-    socket.once('connect', () => this.greet());
+    socket.once('connect', () => this.sendHello());
   }
 
   /** Sends the hello and the unsent calls; a peer with another instance id handles no request. */
-  private greet(): void {
+  private sendHello(): void {
     const { instance, peer } = this.options;
     const connection = this.connection!;
     this.connected = true;
-    const number = connection.takeNumber();
+    const number = connection.allocateNumber();
     connection.send({ kind: 'hello', number, from: instance, to: peer.instance });
-    this.sendAll();
+    this.sendUnsentCalls();
   }
 
-  private sendAll(): void {
+  private sendUnsentCalls(): void {
     this.unsent.forEach((number) => this.send(number));
   }
 
@@ -157,15 +157,15 @@
     try {
       const call = this.calls.get(number)!;
       const connection = this.connection!;
-      call.sentAfter = { connection, arrivalCount: connection.arrivalCount };
+      call.sentOn = { connection, receivedChunkCount: connection.receivedChunkCount };
       connection.send({ kind: 'request', number, request: call.request });
     } catch (thrown) {
-      this.take(number).reject(toRattanliftError(thrown));
+      this.removeCall(number).reject(toRattanliftError(thrown));
     }
   }
 
   /** Removes a pending call and clears its timers. */
-  private take(number: number): PendingCall {
+  private removeCall(number: number): PendingCall {
     const call = this.calls.get(number)!;
     this.calls.delete(number);
     this.parts.delete(number);
@@ -177,17 +177,17 @@
 
   private receive(frame: PeerFrame): void {
     if (frame.kind === 'hello') this.checkHello(frame.from, frame.to);
-    else if (frame.kind === 'reply' && this.greeted) this.settle(frame.number, frame.reply);
-    else if (frame.kind === 'reply-part' && this.greeted) this.collect(frame);
+    else if (frame.kind === 'reply' && this.isPeerConfirmed) this.settle(frame.number, frame.reply);
+    else if (frame.kind === 'reply-part' && this.isPeerConfirmed) this.collectPart(frame);
     else throwError('bad-request', `Unexpected ${frame.kind} frame on a client.`);
   }
 
   private checkHello(from: string, to: string): void {
     const { instance, peer, events } = this.options;
-    if (this.greeted || from !== peer.instance || to !== instance) {
+    if (this.isPeerConfirmed || from !== peer.instance || to !== instance) {
       throwError('bad-request', `The hello from ${from} to ${to} is unexpected.`);
     }
-    this.greeted = true;
+    this.isPeerConfirmed = true;
     this.failureCount = 0;
     events.write('peerConnected', { peer: peer.instance, opened: 'by-us' });
   }
@@ -205,11 +205,11 @@
       return;
     }
     const reply = parsePeerReply(value);
-    this.take(number).resolve(reply);
+    this.removeCall(number).resolve(reply);
   }
 
   /** Collects the parts of a large reply; parts for calls that have ended are dropped. */
-  private collect({ number, bytes, isLast }: ReplyPart): void {
+  private collectPart({ number, bytes, isLast }: ReplyPart): void {
     const parts = [...(this.parts.get(number) ?? []), bytes];
     const sizeBytes = parts.reduce((sum, part) => sum + part.length, 0);
     if (sizeBytes > MAX_REPLY_BYTES) throwError('bad-request', 'A reply is too large.');
@@ -221,14 +221,14 @@
 
   private expire(number: number): void {
     if (!this.calls.has(number)) return;
-    const call = this.take(number);
+    const call = this.removeCall(number);
     call.reject(this.createError(`did not reply to ${call.request.type} in time`));
-    if (call.pingTimer !== undefined) PeerLink.leaveSilent(call);
+    if (call.pingTimer !== undefined) PeerLink.closeIfSilent(call);
   }
 
-  private pingSilent(number: number): void {
+  private pingIfSilent(number: number): void {
     const call = this.calls.get(number);
-    if (call !== undefined) PeerLink.findSilent(call)?.ping();
+    if (call !== undefined) PeerLink.findSilentConnection(call)?.ping();
   }
 
   /**
@@ -236,15 +236,15 @@
    * dropped, until the infrequent heartbeats detect it. If the peer has not answered a ping by the
    * end of a call, the connection is closed, and a later call opens a new one.
    */
-  private static leaveSilent(call: PendingCall): void {
-    PeerLink.findSilent(call)?.close('the peer is silent');
+  private static closeIfSilent(call: PendingCall): void {
+    PeerLink.findSilentConnection(call)?.close('the peer is silent');
   }
 
   /** Returns the connection of a call if it has received nothing since the call was sent. */
-  private static findSilent({ sentAfter }: PendingCall): PeerConnection | undefined {
-    if (sentAfter === undefined) return undefined;
-    const { connection, arrivalCount } = sentAfter;
-    return connection.arrivalCount === arrivalCount ? connection : undefined;
+  private static findSilentConnection({ sentOn: sent }: PendingCall): PeerConnection | undefined {
+    if (sent === undefined) return undefined;
+    const { connection, receivedChunkCount: chunkCountAtSend } = sent;
+    return connection.receivedChunkCount === chunkCountAtSend ? connection : undefined;
   }
 
   private finish({ type, reason }: ConnectionClosure): void {
@@ -253,13 +253,13 @@
     else if (this.failureCount === 0) events.write('peerLost', { peer: peer.instance, reason });
     this.connection = undefined;
     this.connected = false;
-    this.greeted = false;
-    this.failAll(reason);
-    this.waitToReopen();
+    this.isPeerConfirmed = false;
+    this.rejectAllCalls(reason);
+    this.scheduleReopen();
   }
 
   /** Limits how often a connection is reopened; new calls wait for the next attempt. */
-  private waitToReopen(): void {
+  private scheduleReopen(): void {
     const { reopenMinMs, reopenMaxMs } = this.options.reopen;
     const waitMs = Math.min(reopenMaxMs, reopenMinMs * 2 ** this.failureCount);
     this.failureCount += 1;
@@ -270,16 +270,16 @@
     this.reopenTimer.unref();
   }
 
-  private failAll(reason: string): void {
+  private rejectAllCalls(reason: string): void {
     [...this.calls.keys()].forEach((number) =>
-      this.take(number).reject(this.createError(`is unreachable: ${reason}`)),
+      this.removeCall(number).reject(this.createError(`is unreachable: ${reason}`)),
     );
   }
 
-  private createError(what: string): RattanliftError {
+  private createError(failure: string): RattanliftError {
     return new RattanliftError({
       kind: 'peer-unavailable',
-      message: `The instance ${this.options.peer.instance} ${what}.`,
+      message: `The instance ${this.options.peer.instance} ${failure}.`,
     });
   }
 }
--- a/src/peers/PeerServerConnection.ts
+++ b/src/peers/PeerServerConnection.ts
@@ -57,7 +57,7 @@
   }
 
   private receive(frame: PeerFrame): void {
-    if (frame.kind === 'hello') this.greet(frame.from, frame.to);
+    if (frame.kind === 'hello') this.handleHello(frame.from, frame.to);
     else if (frame.kind === 'request') void this.answer(frame.number, frame.request);
     else throwError('bad-request', `Unexpected ${frame.kind} frame on a server.`);
   }
@@ -67,7 +67,7 @@
    * It does not know the predecessor's grants, so its "no such grant" would be taken for the
    * predecessor's answer. Instance ids are never reused, so comparing them is sufficient.
    */
-  private greet(from: string, to: string): void {
+  private handleHello(from: string, to: string): void {
     const { instance, events } = this.options;
     if (this.from !== undefined) throwError('bad-request', 'The peer sent a second hello.');
     if (to !== instance) {
@@ -76,7 +76,7 @@
       return;
     }
     this.from = from;
-    const number = this.connection.takeNumber();
+    const number = this.connection.allocateNumber();
     this.connection.send({ kind: 'hello', number, from: instance, to: from });
     events.write('peerConnected', { peer: from, opened: 'by-peer' });
   }
@@ -108,11 +108,11 @@
     try {
       this.connection.send({ kind: 'reply', number, reply });
     } catch {
-      this.sendLarge(number, reply);
+      this.sendLargeReply(number, reply);
     }
   }
 
-  private sendLarge(number: number, reply: PeerReply): void {
+  private sendLargeReply(number: number, reply: PeerReply): void {
     try {
       this.sendInParts(number, encodeCbor(reply));
     } catch (thrown) {
--- a/src/peers/peerSchemas.ts
+++ b/src/peers/peerSchemas.ts
@@ -140,9 +140,9 @@
   z.looseObject({ type: z.literal('state'), json: text }),
 ]);
 
-function throwMalformed(what: string, error: z.ZodError): never {
+function throwMalformed(messageType: string, error: z.ZodError): never {
   const field = error.issues[0]?.path.join('.');
-  return throwError('bad-request', `The ${what} is malformed: ${z.prettifyError(error)}`, {
+  return throwError('bad-request', `The ${messageType} is malformed: ${z.prettifyError(error)}`, {
     field,
   });
 }
--- a/src/queues/ConfigurationFollower.ts
+++ b/src/queues/ConfigurationFollower.ts
@@ -60,7 +60,7 @@
     this.follower = new KeyedFollower({
       ...options,
       onRecord: (record) => this.handleRecord(record),
-      maxBehindCount: MAX_BEHIND_COUNT,
+      maxLagCount: MAX_BEHIND_COUNT,
     });
   }
 
--- a/src/store/GroupPort.ts
+++ b/src/store/GroupPort.ts
@@ -1,5 +1,5 @@
 /** Partitions that a group assigns to one member in one generation. */
-export interface GroupShare {
+export interface GroupAssignment {
   /** Increases with each change of the group. */
   readonly generation: number;
   /** Partitions that are assigned to the member. */
@@ -37,7 +37,7 @@
    * @returns The member's assignment.
    * @throws Error If no answer arrives or the store rejects the call.
    */
-  join(request: JoinRequest): Promise<GroupShare>;
+  join(request: JoinRequest): Promise<GroupAssignment>;
   /**
    * Leaves a group. The member's partitions are reassigned at once.
    * @param group - Name of the group.
--- a/src/store/KeyedFollower.ts
+++ b/src/store/KeyedFollower.ts
@@ -8,7 +8,7 @@
   /** Receives each change of a key, in order; a record without a value deletes its key. */
   readonly onRecord: (record: KeyedRecord) => void;
   /** Number of unread changes above which the follower reloads the whole partition. */
-  readonly maxBehindCount?: number;
+  readonly maxLagCount?: number;
 }
 
 /**
@@ -16,7 +16,7 @@
  * Targets report every 1.5 s, so 350 targets write 14,000 records in a minute. Reading them takes
  * seconds on a slow link, while a partition waits for its home.
  */
-const DEFAULT_MAX_BEHIND_COUNT = 4_096;
+const DEFAULT_MAX_LAG_COUNT = 4_096;
 
 /** Progress of an unfinished reload of the whole partition. */
 interface Reload {
@@ -67,22 +67,22 @@
 
   /** Reads the changes of one answer; returns whether more are available now. */
   private async readOnce(waitMs: number): Promise<boolean> {
-    const { store, topic, partition, maxBehindCount } = this.options;
+    const { store, topic, partition, maxLagCount: maxLag } = this.options;
     const fromOffset = this.nextOffset;
     if (fromOffset === undefined) {
       await this.readAll();
       return true;
     }
-    const maxCount = maxBehindCount;
+    const maxCount = maxLag;
     const result = await store.readFrom({ topic, partition, fromOffset, waitMs, maxCount });
     if (result.type === 'expired') {
       this.nextOffset = undefined;
       return true;
     }
-    result.records.forEach((record) => this.take(record));
+    result.records.forEach((record) => this.apply(record));
     this.nextOffset = Math.max(fromOffset, result.nextOffset);
     // A reload is shorter: the newest records are far fewer than the unread changes.
-    if (result.endOffset - this.nextOffset > (maxBehindCount ?? DEFAULT_MAX_BEHIND_COUNT)) {
+    if (result.endOffset - this.nextOffset > (maxLag ?? DEFAULT_MAX_LAG_COUNT)) {
       this.nextOffset = undefined;
       return true;
     }
@@ -98,18 +98,18 @@
    * happen meanwhile are read from the end offset that the first page reported.
    */
   private async readAll(): Promise<void> {
-    let isWhole = false;
-    while (!isWhole) {
+    let isComplete = false;
+    while (!isComplete) {
       // eslint-disable-next-line no-await-in-loop -- each page gives the start of the next one
-      isWhole = await this.readPage();
+      isComplete = await this.readPage();
     }
     const { records, endOffset } = this.reload!;
     this.reload = undefined;
     const present = new Set(records.map(({ key }) => key));
     [...this.keys]
       .filter((key) => !present.has(key))
-      .forEach((key) => this.take({ key, value: undefined }));
-    records.forEach((record) => this.take(record));
+      .forEach((key) => this.apply({ key, value: undefined }));
+    records.forEach((record) => this.apply(record));
     this.nextOffset = endOffset;
   }
 
@@ -125,7 +125,7 @@
     return page.nextAfterKey === undefined;
   }
 
-  private take(record: KeyedRecord): void {
+  private apply(record: KeyedRecord): void {
     if (record.value === undefined) this.keys.delete(record.key);
     else this.keys.add(record.key);
     this.options.onRecord(record);
--- a/src/store/index.ts
+++ b/src/store/index.ts
@@ -1,4 +1,9 @@
-export type { GroupPort, GroupShare, JoinRequest, PartitionOwner } from './GroupPort.js';
+export type {
+  GroupPort,
+  GroupAssignment as GroupAssignment,
+  JoinRequest,
+  PartitionOwner,
+} from './GroupPort.js';
 export type {
   AppendFence,
   AppendRequest,
@@ -10,5 +15,9 @@
   ReadResult,
   StoredRecord,
 } from './KeyedLogPort.js';
-export { decodeRecordOf, decodeRecordValue, encodeRecordValue } from './recordValue.js';
+export {
+  decodeRecordWithPrefix as decodeRecordWithPrefix,
+  decodeRecordValue,
+  encodeRecordValue,
+} from './recordValue.js';
 export { KeyedFollower, type KeyedFollowerOptions } from './KeyedFollower.js';
--- a/src/store/recordValue.ts
+++ b/src/store/recordValue.ts
@@ -36,7 +36,7 @@
  * @returns The validated content, or undefined if the record is of another kind or deleted.
  * @throws RattanliftError Of kind `internal` if the value does not match the schema.
  */
-export function decodeRecordOf<Schema extends z.ZodType>(
+export function decodeRecordWithPrefix<Schema extends z.ZodType>(
   prefix: string,
   schema: Schema,
   record: KeyedRecord,
--- a/src/targets/HttpTargetPort.ts
+++ b/src/targets/HttpTargetPort.ts
@@ -75,7 +75,7 @@
     const exchange = new TaskExchange({
       connectTimeoutMs: this.connectTimeoutMs,
       silenceLimitMs: task.silenceLimitMs,
-      onSilent: () => this.retire(target, dispatcher),
+      onSilent: () => this.retireConnections(target, dispatcher),
       onEnded: () => {
         ended.abort();
         if (dispatcher instanceof Client) void dispatcher.close().catch(() => undefined);
@@ -121,9 +121,11 @@
 
   /** Closes every connection. Exchanges in progress fail. */
   async close(): Promise<void> {
-    const all = [...this.connections.values()];
+    const closing = [...this.connections.values()];
     this.connections.clear();
-    await Promise.all(all.flatMap(({ tasks, controls }) => [tasks.destroy(), controls.close()]));
+    await Promise.all(
+      closing.flatMap(({ tasks, controls }) => [tasks.destroy(), controls.close()]),
+    );
   }
 
   private static dispatch(dispatcher: Dispatcher, task: TaskRequest, exchange: TaskExchange): void {
@@ -154,8 +156,8 @@
 
   private getConnections(target: TargetAddress): TargetConnections {
     const key = HttpTargetPort.keyOf(target);
-    const known = this.connections.get(key);
-    if (known !== undefined) return known;
+    const existing = this.connections.get(key);
+    if (existing !== undefined) return existing;
     const created = {
       tasks: new Pool(HttpTargetPort.originOf(target), this.connectionOptions()),
       controls: new HttpJsonClient({
@@ -186,13 +188,13 @@
   // Guards against a middlebox that drops the state of connections. When one connection of the
   // pool goes silent, the others may be dead too, while a new one may work. No new request uses
   // the old connections. Requests in progress continue under their own silence limits.
-  private retire(target: TargetAddress, dispatcher: Dispatcher): void {
+  private retireConnections(target: TargetAddress, dispatcher: Dispatcher): void {
     const key = HttpTargetPort.keyOf(target);
-    const known = this.connections.get(key);
-    if (known?.tasks !== dispatcher) return;
+    const existing = this.connections.get(key);
+    if (existing?.tasks !== dispatcher) return;
     this.connections.delete(key);
-    void known.tasks.close().catch(() => undefined);
-    void known.controls.close().catch(() => undefined);
+    void existing.tasks.close().catch(() => undefined);
+    void existing.controls.close().catch(() => undefined);
   }
 
   // Status and control calls are idempotent. The client drops its connections after a failure, so
@@ -201,13 +203,13 @@
     target: TargetAddress,
     request: Omit<JsonRequest, 'timeoutMs'>,
   ): Promise<JsonAnswer | undefined> {
-    const timed = { ...request, timeoutMs: this.controlTimeoutMs };
+    const requestWithTimeout = { ...request, timeoutMs: this.controlTimeoutMs };
     const { controls } = this.getConnections(target);
     try {
-      return await controls.send(timed);
+      return await controls.send(requestWithTimeout);
     } catch {
       return this.getConnections(target)
-        .controls.send(timed)
+        .controls.send(requestWithTimeout)
         .catch(() => undefined);
     }
   }
--- a/src/targets/LeasedTargetPort.ts
+++ b/src/targets/LeasedTargetPort.ts
@@ -36,7 +36,7 @@
   | { readonly type: 'other-lifetime' };
 
 /** Answer to a stop request or a change of the pace. */
-export type OrderAnswer =
+export type CommandAnswer =
   | { readonly type: 'accepted' }
   | { readonly type: 'refused'; readonly reason: string }
   | { readonly type: 'other-lifetime' };
@@ -107,7 +107,7 @@
   | { readonly type: 'renew'; readonly renewal: LeaseRenewal };
 
 /** Answer of a leased target to any call. */
-export type TargetAnswer = StartAnswer | OrderAnswer | LeaseAnswer;
+export type TargetAnswer = StartAnswer | CommandAnswer | LeaseAnswer;
 
 /**
  * Calls targets that run tasks under a lease. A target kills all its tasks when its lease is not
@@ -134,7 +134,7 @@
     taskName: string,
     run: number,
     term: number,
-  ): Promise<OrderAnswer>;
+  ): Promise<CommandAnswer>;
   /**
    * Renews the lease and reads the running and the ended tasks.
    * @param target - The target.
@@ -157,7 +157,7 @@
     run: number,
     percent: number,
     term: number,
-  ): Promise<OrderAnswer>;
+  ): Promise<CommandAnswer>;
   /**
    * Closes the connections to a target that is gone.
    * @param targetId - Id of the lifetime.
--- a/src/targets/TaskExchange.ts
+++ b/src/targets/TaskExchange.ts
@@ -49,7 +49,7 @@
 
   private body: Readable | undefined;
 
-  private endsOnlyByClose = false;
+  private isCloseDelimited = false;
 
   private timer: NodeJS.Timeout | undefined;
 
@@ -73,7 +73,7 @@
    */
   cancel(): boolean {
     const mayRun = this.phase === 'sent' || this.phase === 'answering';
-    this.giveUp('cancelled', 'The request was cancelled.');
+    this.abort('cancelled', 'The request was cancelled.');
     return mayRun;
   }
 
@@ -136,7 +136,7 @@
 
   /** Called by undici when the answer has ended. */
   onResponseEnd(): void {
-    if (this.phase === 'answering' && this.endsOnlyByClose) {
+    if (this.phase === 'answering' && this.isCloseDelimited) {
       // Guards against an answer truncated by a failing target or middlebox. Without a declared
       // length, truncation looks like a normal end, so such an answer never counts as complete.
       this.fail('connection-lost', 'The answer ended without a declared length.');
@@ -157,15 +157,15 @@
 
   private beginAnswer(httpStatus: number, headers: IncomingHttpHeaders): void {
     const hasBody = httpStatus !== HTTP_NO_CONTENT && httpStatus !== HTTP_NOT_MODIFIED;
-    this.endsOnlyByClose =
+    this.isCloseDelimited =
       hasBody &&
       headers['content-length'] === undefined &&
       headers['transfer-encoding'] === undefined;
     this.phase = 'answering';
     const body = new Readable({
-      read: () => this.readOn(),
+      read: () => this.resumeReading(),
       destroy: (error, done) => {
-        this.abandon();
+        this.onBodyDestroyed();
         done(error);
       },
     });
@@ -176,7 +176,7 @@
     this.settle({ type: 'answering', httpStatus, contentType, body });
   }
 
-  private readOn(): void {
+  private resumeReading(): void {
     if (this.phase !== 'answering' || !this.controller?.paused) return;
     this.watch(this.options.silenceLimitMs);
     this.controller.resume();
@@ -185,16 +185,16 @@
   private watch(limitMs: number): void {
     clearTimeout(this.timer);
     if (this.phase === 'ended') return;
-    this.timer = setTimeout(() => this.onSilence(limitMs), limitMs);
+    this.timer = setTimeout(() => this.onTimeout(limitMs), limitMs);
   }
 
-  private onSilence(limitMs: number): void {
+  private onTimeout(limitMs: number): void {
     const { onSilent } = this.options;
-    this.giveUp('silent', `The target was silent for ${limitMs} ms.`);
+    this.abort('silent', `The target was silent for ${limitMs} ms.`);
     onSilent();
   }
 
-  private giveUp(reason: 'silent' | 'cancelled', message: string): void {
+  private abort(reason: 'silent' | 'cancelled', message: string): void {
     const { controller } = this;
     this.fail(reason, message);
     controller?.abort(new Error(message));
@@ -222,7 +222,7 @@
   }
 
   /** Aborts the exchange when the reader has closed the body. */
-  private abandon(): void {
+  private onBodyDestroyed(): void {
     if (this.phase !== 'answering') return;
     const { controller } = this;
     this.end();
--- a/src/targets/index.ts
+++ b/src/targets/index.ts
@@ -13,7 +13,7 @@
   LeasedTargetAddress,
   LeasedTargetPort,
   LeaseRenewal,
-  OrderAnswer,
+  CommandAnswer as CommandAnswer,
   RunningTaskReport,
   StartAnswer,
   StartRefusal,
--- a/src/targets/targetCallSchemas.ts
+++ b/src/targets/targetCallSchemas.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod';
 
-const name = z.string();
+const text = z.string();
 const number = z.number();
 
 /** Schema of a target call that one instance sends to another. */
@@ -8,19 +8,19 @@
   z.looseObject({
     type: z.literal('start'),
     start: z.looseObject({
-      taskName: name,
+      taskName: text,
       run: number,
-      payload: name,
+      payload: text,
       leaseUntilTargetMs: number,
       term: number,
-      checkpoint: name.optional(),
-      ticket: name.optional(),
+      checkpoint: text.optional(),
+      ticket: text.optional(),
     }),
   }),
-  z.looseObject({ type: z.literal('stop'), taskName: name, run: number, term: number }),
+  z.looseObject({ type: z.literal('stop'), taskName: text, run: number, term: number }),
   z.looseObject({
     type: z.literal('pace'),
-    taskName: name,
+    taskName: text,
     run: number,
     percent: number,
     term: number,
@@ -37,26 +37,26 @@
 ]);
 
 const runningTask = z.looseObject({
-  taskName: name,
+  taskName: text,
   run: number,
-  checkpoint: name.optional(),
+  checkpoint: text.optional(),
   progressPercent: number,
   loadFigure: number.optional(),
 });
 
 const endedTask = z.looseObject({
   endNumber: number,
-  taskName: name,
+  taskName: text,
   run: number,
   end: z.enum(['done', 'failed', 'stopped', 'lapsed', 'gang-broken', 'gang-alone']),
-  checkpoint: name.optional(),
+  checkpoint: text.optional(),
 });
 
 /** Schema of a target's answer that one instance sends to another. */
 export const targetAnswerSchema = z.discriminatedUnion('type', [
   z.looseObject({ type: z.literal('started'), targetClockMs: number }),
   z.looseObject({ type: z.literal('accepted') }),
-  z.looseObject({ type: z.literal('refused'), reason: name, targetClockMs: number.optional() }),
+  z.looseObject({ type: z.literal('refused'), reason: text, targetClockMs: number.optional() }),
   z.looseObject({ type: z.literal('other-lifetime') }),
   z.looseObject({ type: z.literal('stale-term') }),
   z.looseObject({ type: z.literal('unhealthy') }),
--- a/src/taskHome/RelayedTargets.ts
+++ b/src/taskHome/RelayedTargets.ts
@@ -7,7 +7,7 @@
   type LeasedTargetAddress,
   type LeasedTargetPort,
   type LeaseRenewal,
-  type OrderAnswer,
+  type CommandAnswer,
   type StartAnswer,
   type TargetAnswer,
   type TargetCall,
@@ -116,8 +116,8 @@
     taskName: string,
     run: number,
     term: number,
-  ): Promise<OrderAnswer> {
-    return (await this.call(target, { type: 'stop', taskName, run, term })) as OrderAnswer;
+  ): Promise<CommandAnswer> {
+    return (await this.call(target, { type: 'stop', taskName, run, term })) as CommandAnswer;
   }
 
   /** {@inheritDoc LeasedTargetPort.pace} */
@@ -127,9 +127,9 @@
     run: number,
     percent: number,
     term: number,
-  ): Promise<OrderAnswer> {
+  ): Promise<CommandAnswer> {
     const call = { type: 'pace', taskName, run, percent, term } as const;
-    return (await this.call(target, call)) as OrderAnswer;
+    return (await this.call(target, call)) as CommandAnswer;
   }
 
   /** {@inheritDoc LeasedTargetPort.renew} */
--- a/src/taskHome/TaskOrders.ts
+++ b/src/taskHome/TaskOrders.ts
@@ -1,5 +1,5 @@
 import type {
-  OrderAnswer,
+  CommandAnswer,
   RunningTaskReport,
   StartAnswer,
   StartRefusal,
@@ -327,7 +327,7 @@
     }
   }
 
-  private handleStopAnswer(order: RunOrder, answer: OrderAnswer): void {
+  private handleStopAnswer(order: RunOrder, answer: CommandAnswer): void {
     const { onOtherLifetime, onStaleTerm } = this.options;
     switch (answer.type) {
       case 'accepted':
--- a/standins/leasedTargets/LeasedTarget.ts
+++ b/standins/leasedTargets/LeasedTarget.ts
@@ -2,7 +2,7 @@
   EndedTaskReport,
   LeaseAnswer,
   LeaseRenewal,
-  OrderAnswer,
+  CommandAnswer,
   RunningTaskReport,
   StartAnswer,
   TaskEnd,
@@ -73,7 +73,7 @@
   }
 
   /** Carries a stop out; a run that is not there is refused from then on. */
-  stop(taskName: string, run: number, term: number): OrderAnswer {
+  stop(taskName: string, run: number, term: number): CommandAnswer {
     this.lapse();
     if (term < this.highestTerm) return { type: 'refused', reason: 'stale-term' };
     this.highestTerm = term;
--- a/standins/leasedTargets/LeasedTargetsStandIn.ts
+++ b/standins/leasedTargets/LeasedTargetsStandIn.ts
@@ -4,7 +4,7 @@
   LeasedTargetAddress,
   LeasedTargetPort,
   LeaseRenewal,
-  OrderAnswer,
+  CommandAnswer,
   StartAnswer,
   TaskStart,
 } from '../../src/targets/index.js';
@@ -167,7 +167,7 @@
     taskName: string,
     run: number,
     term: number,
-  ): Promise<OrderAnswer> {
+  ): Promise<CommandAnswer> {
     this.throwIfCutOff(targetId);
     this.stops.push(taskName);
     if (this.faults.get(targetId)?.losesStops === true) {
@@ -178,7 +178,7 @@
   }
 
   /** {@inheritDoc LeasedTargetPort.pace} */
-  async pace({ targetId }: LeasedTargetAddress): Promise<OrderAnswer> {
+  async pace({ targetId }: LeasedTargetAddress): Promise<CommandAnswer> {
     this.throwIfCutOff(targetId);
     return { type: 'accepted' };
   }
--- a/standins/store/GroupStandIn.ts
+++ b/standins/store/GroupStandIn.ts
@@ -1,4 +1,4 @@
-import type { GroupShare, JoinRequest, PartitionOwner } from '../../src/store/index.js';
+import type { GroupAssignment, JoinRequest, PartitionOwner } from '../../src/store/index.js';
 
 interface Group {
   generation: number;
@@ -27,7 +27,7 @@
    * @param request - Who joins what.
    * @returns The member's share.
    */
-  join({ group: name, member, generation }: JoinRequest): GroupShare {
+  join({ group: name, member, generation }: JoinRequest): GroupAssignment {
     const group = this.getGroup(name);
     if (!group.members.has(member)) group.generation += 1;
     group.members.set(member, generation);
--- a/standins/store/StoreAccess.ts
+++ b/standins/store/StoreAccess.ts
@@ -2,7 +2,7 @@
   AppendRequest,
   AppendResult,
   GroupPort,
-  GroupShare,
+  GroupAssignment,
   JoinRequest,
   KeyedLogPort,
   NewestRecords,
@@ -43,7 +43,7 @@
   }
 
   /** {@inheritDoc GroupPort.join} */
-  async join(request: JoinRequest): Promise<GroupShare> {
+  async join(request: JoinRequest): Promise<GroupAssignment> {
     return this.open().join(request);
   }
 
--- a/standins/store/StoreStandIn.ts
+++ b/standins/store/StoreStandIn.ts
@@ -3,7 +3,7 @@
   AppendRequest,
   AppendResult,
   GroupPort,
-  GroupShare,
+  GroupAssignment,
   JoinRequest,
   KeyedLogPort,
   NewestRecords,
@@ -100,7 +100,7 @@
   }
 
   /** {@inheritDoc GroupPort.join} */
-  async join(request: JoinRequest): Promise<GroupShare> {
+  async join(request: JoinRequest): Promise<GroupAssignment> {
     this.throwIfAway();
     return this.groups.join(request);
   }
--- a/tests/peers/FrameDecoder.fuzz.test.ts
+++ b/tests/peers/FrameDecoder.fuzz.test.ts
@@ -7,7 +7,7 @@
 import { parsePeerReply, parsePeerRequest } from '../../src/peers/peerSchemas.js';
 
 const SEED = 20261202;
-const bounds = { seed: SEED, numRuns: 2000, verbose: 1 } as const;
+const propertyOptions = { seed: SEED, numRuns: 2000, verbose: 1 } as const;
 const chunks = fc.array(fc.uint8Array({ maxLength: 40 }), { maxLength: 8 });
 const number = fc.integer({ min: 1, max: 2 ** 31 });
 const name = fc.string({ minLength: 1, maxLength: 20 });
@@ -21,7 +21,7 @@
 );
 
 /** Runs a decoder or parser; an error of any kind but `bad-request` fails the test. */
-function expectBadRequestAtMost(run: () => unknown): void {
+function expectOnlyBadRequest(run: () => unknown): void {
   try {
     run();
   } catch (thrown) {
@@ -38,9 +38,9 @@
   it('accepts arbitrary bytes or rejects them as a bad request', () => {
     fc.assert(
       fc.property(chunks, (parts) =>
-        expectBadRequestAtMost(() => decodeAll(new FrameDecoder(), parts)),
+        expectOnlyBadRequest(() => decodeAll(new FrameDecoder(), parts)),
       ),
-      bounds,
+      propertyOptions,
     );
   });
 
@@ -50,9 +50,9 @@
         const bytes = Buffer.alloc(4 + payload.length);
         bytes.writeUInt32BE(payload.length);
         bytes.set(payload, 4);
-        expectBadRequestAtMost(() => new FrameDecoder().push(bytes));
+        expectOnlyBadRequest(() => new FrameDecoder().push(bytes));
       }),
-      bounds,
+      propertyOptions,
     );
   });
 
@@ -69,7 +69,7 @@
           expect(decodeAll(new FrameDecoder(), parts)).toEqual(frames);
         },
       ),
-      bounds,
+      propertyOptions,
     );
   });
 
@@ -82,10 +82,10 @@
     fc.assert(
       fc.property(fc.constantFrom(...types), message, (type, fields) => {
         const stray = typeof fields === 'object' ? { ...fields, type } : fields;
-        expectBadRequestAtMost(() => parsePeerRequest(stray));
-        expectBadRequestAtMost(() => parsePeerReply(stray));
+        expectOnlyBadRequest(() => parsePeerRequest(stray));
+        expectOnlyBadRequest(() => parsePeerReply(stray));
       }),
-      bounds,
+      propertyOptions,
     );
   });
 });
--- a/tests/peers/PeerClient.test.ts
+++ b/tests/peers/PeerClient.test.ts
@@ -16,7 +16,7 @@
 const LONG_MS = 30_000;
 const heartbeat = { heartbeatMs: 10, silentHeartbeatLimit: 10 };
 /** An interval so long that no heartbeat occurs during a test. */
-const rareHeartbeat = { heartbeatMs: 60_000, silentHeartbeatLimit: 2 };
+const infrequentHeartbeat = { heartbeatMs: 60_000, silentHeartbeatLimit: 2 };
 const reopen = { reopenMinMs: 5, reopenMaxMs: 20 };
 const cleanups: (() => unknown)[] = [];
 
@@ -199,7 +199,7 @@
     const through = { ...peer, port };
     await client.call(through, explain('before'), LONG_MS);
 
-    forwarder.forgetConnections();
+    forwarder.dropConnectionState();
 
     const stuck = client.call(through, explain('stuck'), LONG_MS);
     await expect(stuck).rejects.toThrow('silent');
@@ -213,7 +213,7 @@
   // Guards against callers of each entry that wait 4 s after all connections between instances go
   // silent: calls are sent on the dead connection one after another until heartbeats detect it.
   it('closes a connection on which a call got no data, before heartbeats detect it', async () => {
-    const options = { heartbeat: rareHeartbeat };
+    const options = { heartbeat: infrequentHeartbeat };
     const { peer } = await startServer(echo, 'b', 0, options);
     const forwarder = new TcpForwarder(peer.port);
     const port = await forwarder.start();
@@ -221,7 +221,7 @@
     const { client, events } = createClient(options);
     const through = { ...peer, port };
     await client.call(through, explain('before'), LONG_MS);
-    forwarder.forgetConnections();
+    forwarder.dropConnectionState();
     await expect(client.call(through, explain('lost'), 1_250)).rejects.toThrow();
     await waitForEvent(events, 'peerLost');
     expect(await client.call(through, explain('after'), 1_250)).toMatchObject({ json: 'a after' });
@@ -230,7 +230,7 @@
   // A home that waits for the store does not answer calls in time, but it is alive, so its
   // connections stay open.
   it('keeps a connection whose peer answers pings while a call gets no reply', async () => {
-    const options = { heartbeat: rareHeartbeat };
+    const options = { heartbeat: infrequentHeartbeat };
     const handler: PeerHandler = (from, request) =>
       request.type === 'explain' && request.subject === 'never'
         ? new Promise(() => {})
--- a/tests/peers/TcpForwarder.ts
+++ b/tests/peers/TcpForwarder.ts
@@ -22,7 +22,7 @@
   }
 
   /** Discards the data and the closing of every current connection from now on. */
-  forgetConnections(): void {
+  dropConnectionState(): void {
     this.sockets.forEach((socket) => {
       socket.removeAllListeners('data');
       socket.removeAllListeners('close');
@@ -35,11 +35,11 @@
     this.server.close();
   }
 
-  private forward(near: Socket): void {
-    const far = connect(this.targetPort, '127.0.0.1');
+  private forward(client: Socket): void {
+    const upstream = connect(this.targetPort, '127.0.0.1');
     this.connectionCount += 1;
-    this.copy(near, far);
-    this.copy(far, near);
+    this.copy(client, upstream);
+    this.copy(upstream, client);
   }
 
   private copy(from: Socket, to: Socket): void {
--- a/tests/store/KeyedFollower.test.ts
+++ b/tests/store/KeyedFollower.test.ts
@@ -6,22 +6,22 @@
 
 /** A store that serves its newest records in pages; the first request for each page fails. */
 class PagedStore implements Pick<KeyedLogPort, 'readNewest' | 'readFrom'> {
-  readonly whole = new StoreStandIn({ partitionCount: 1 });
+  readonly store = new StoreStandIn({ partitionCount: 1 });
 
   /** `afterKey` of each requested page, in order; undefined for the first page. */
-  readonly asked: (string | undefined)[] = [];
+  readonly requestedAfterKeys: (string | undefined)[] = [];
 
-  readonly readFrom = this.whole.readFrom.bind(this.whole);
+  readonly readFrom = this.store.readFrom.bind(this.store);
 
   async readNewest(
     topic: string,
     partition: number,
     afterKey?: string,
   ): ReturnType<KeyedLogPort['readNewest']> {
-    const isRepeat = this.asked.includes(afterKey);
-    this.asked.push(afterKey);
+    const isRepeat = this.requestedAfterKeys.includes(afterKey);
+    this.requestedAfterKeys.push(afterKey);
     if (!isRepeat) throw new Error('The page was lost.');
-    const { records, endOffset } = await this.whole.readNewest(topic, partition);
+    const { records, endOffset } = await this.store.readNewest(topic, partition);
     const from = records.findIndex(({ key }) => key === afterKey) + 1;
     const page = records.slice(from, from + PAGE_SIZE);
     const isLast = from + PAGE_SIZE >= records.length;
@@ -30,7 +30,7 @@
 
   async append(...keys: readonly string[]): Promise<void> {
     const records = keys.map((key) => ({ key, value: Buffer.from(key) }));
-    await this.whole.append({ topic: 'jobs', partition: 0, records, timeoutMs: 1_000 });
+    await this.store.append({ topic: 'jobs', partition: 0, records, timeoutMs: 1_000 });
   }
 }
 
@@ -52,7 +52,7 @@
   await expect(follower.read(0)).rejects.toThrow('lost');
   expect(follower.endOffset).toBeUndefined();
   await follower.read(0);
-  expect(store.asked).toEqual([undefined, undefined, 'b', 'b', 'd', 'd']);
+  expect(store.requestedAfterKeys).toEqual([undefined, undefined, 'b', 'b', 'd', 'd']);
   expect([...taken.keys()].toSorted()).toEqual(['a', 'b', 'c', 'd', 'e', 'f']);
   expect(follower.endOffset).toBe(7);
 });
--- a/tests/taskHome/GroupMembership.test.ts
+++ b/tests/taskHome/GroupMembership.test.ts
@@ -1,7 +1,7 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import { MemoryEventLog } from '../../src/logging/index.js';
-import type { GroupPort, GroupShare } from '../../src/store/index.js';
+import type { GroupPort, GroupAssignment } from '../../src/store/index.js';
 import {
   GroupMembership,
   type GroupMembershipOptions,
@@ -14,7 +14,7 @@
 
 /** A group that assigns the same share to the only member of a test. */
 class FakeGroups implements GroupPort {
-  share: GroupShare = { generation: 1, partitions: [0, 2] };
+  share: GroupAssignment = { generation: 1, partitions: [0, 2] };
 
   /** Calls to the group and reasons of `onLeaving`, in order. */
   readonly calls: string[] = [];
@@ -24,7 +24,7 @@
   /** Whether answers are held back until they are released. */
   holdsAnswers = false;
 
-  async join(): Promise<GroupShare> {
+  async join(): Promise<GroupAssignment> {
     this.calls.push('join');
     if (this.holdsAnswers) {
       await new Promise<void>((resolve) => {
