--- a/scripts/mutantList.ts
+++ b/scripts/mutantList.ts
@@ -1,11 +1,11 @@
 import type { Mutant } from './Mutant.js';
 
-const CLAIM_TEST = 'tests/home/ClaimDesk.test.ts';
+const CLAIM_TEST = 'tests/home/ClaimRegistry.test.ts';
 const WAVE_TEST = 'tests/home/WaveRunner.test.ts';
 const FOLD_TEST = 'tests/log/applyEntry.test.ts';
 const LEASE_TEST = 'tests/membership/HeldLease.test.ts';
 const MEMBERSHIP_TEST = 'tests/membership/Membership.test.ts';
-const LAPSE_TEST = 'tests/membership/LapseWatch.test.ts';
+const LAPSE_TEST = 'tests/membership/LapseDetector.test.ts';
 const RUN_TEST = 'tests/entry/JobRun.test.ts';
 const CHECK_TEST = 'tests/entry/NotRunCheck.test.ts';
 const TARGET_TEST = 'tests/targets/HttpTargetPort.test.ts';
@@ -37,7 +37,7 @@
     find: 'if (!this.options.holdsLease()) return;\n    events.write',
     replace: 'events.write',
     test: WAVE_TEST,
-    name: 'does not reboot once the lease is gone',
+    name: 'does not reboot after the lease is lost',
   },
   {
     failure: 'a reboot under a running task',
@@ -53,7 +53,7 @@
     find: 'if (!isDrained || hasGrants || !isIdle) return;',
     replace: 'if (!isDrained || !isIdle) return;',
     test: WAVE_TEST,
-    name: 'does not reboot while a grant for the VM is out',
+    name: 'does not reboot while a grant for the VM is in use',
   },
   {
     failure: 'a successor that waits for a dead VM for ever',
@@ -61,7 +61,7 @@
     find: 'if (this.options.clock.monotonicMs() >= phase.giveUpAtMs) await',
     replace: 'if (phase.giveUpAtMs < 0) await',
     test: WAVE_TEST,
-    name: 'gives a VM up that answers nothing at all',
+    name: 'fails the step of a VM that does not answer',
   },
   {
     failure: 'one VM in two pools',
@@ -106,8 +106,8 @@
   {
     failure: 'a lease counted from the reading back of its renewal',
     file: 'src/membership/HeldLease.ts',
-    find: 'sentAt.monotonicMs + lengthMs',
-    replace: 'this.options.clock.monotonicMs() + lengthMs',
+    find: 'sentAt.monotonicMs + durationMs',
+    replace: 'this.options.clock.monotonicMs() + durationMs',
     test: LEASE_TEST,
     name: 'counts from before the renewal was sent',
   },
@@ -117,11 +117,11 @@
     find: ' || leaveCount !== this.leaveCount',
     replace: '',
     test: MEMBERSHIP_TEST,
-    name: 'holds no lease once it has left',
+    name: 'holds no lease after it has left',
   },
   {
     failure: 'leases ended by an instance that has not read the log to its end',
-    file: 'src/membership/LapseWatch.ts',
+    file: 'src/membership/LapseDetector.ts',
     find: 'const waitedMs = readToEndAtMs - this.observations',
     replace: 'const waitedMs = 3_000 + readToEndAtMs - this.observations',
     test: LAPSE_TEST,
@@ -129,11 +129,11 @@
   },
   {
     failure: 'leases ended by the first instance back after an outage',
-    file: 'src/membership/LapseWatch.ts',
+    file: 'src/membership/LapseDetector.ts',
     find: 'restart(): void {\n    this.observations = new Map();',
     replace: 'restart(): void {\n    this.observations = new Map(this.observations);',
     test: LAPSE_TEST,
-    name: 'gives everyone a whole lease again',
+    name: 'restarts every wait after an outage',
   },
   {
     failure: 'a late reply that reaches another call',
@@ -201,23 +201,23 @@
   },
   {
     failure: 'a request that is sent again after its entry instance is gone',
-    file: 'src/home/ClaimDesk.ts',
-    find: 'return this.findObstacleOfOpenClaim(entry, claim);',
+    file: 'src/home/ClaimRegistry.ts',
+    find: 'return this.findOpenClaimConflict(entry, claim);',
     replace: 'return undefined;',
     test: CLAIM_TEST,
-    name: 'calls a request unknown whose entry instance is gone',
+    name: 'reports an unknown outcome if the entry instance has left',
   },
   {
     failure: 'a repeat under a claim that is being settled as not run',
-    file: 'src/home/ClaimDesk.ts',
-    find: 'if (!this.unsent.has(request.requestId)) return undefined;',
+    file: 'src/home/ClaimRegistry.ts',
+    find: 'if (!this.unsentRequestIds.has(request.requestId)) return undefined;',
     replace: 'if (request.requestId) return undefined;',
     test: CLAIM_TEST,
-    name: 'frees a request whose claim was lost',
+    name: 'settles a claim whose answer was lost',
   },
   {
     failure: 'another request that passes under a used id',
-    file: 'src/home/ClaimDesk.ts',
+    file: 'src/home/ClaimRegistry.ts',
     find: 'if (claim !== undefined && claim.fingerprint !== request.fingerprint) {',
     replace: "if (claim !== undefined && claim.fingerprint === '') {",
     test: CLAIM_TEST,
--- a/src/home/ClaimRegistry.ts
+++ b/src/home/ClaimRegistry.ts
@@ -27,7 +27,7 @@
 export class ClaimRegistry {
   private readonly options: ClaimRegistryOptions;
 
-  /** Requests that were refused after their claim was written, and never sent to a target. */
+  /** Requests whose claim was submitted to the log, but which were never sent to a target. */
   private readonly unsentRequestIds = new Set<string>();
 
   private readonly settlements = new KeyedOnce();
@@ -162,8 +162,8 @@
   /**
    * Reuses the open claim of a request unless that claim is being settled as not run.
    *
-   * Otherwise the settlement would free the id of a request that is running, and a third attempt
-   * would run the request twice.
+   * Reusing such a claim would let the settlement free the id of a request that is running, and a
+   * third attempt would run the request twice.
    */
   private reuseClaim(request: GrantRequest): Refusal | undefined {
     if (!this.unsentRequestIds.has(request.requestId)) return undefined;
--- a/src/home/index.ts
+++ b/src/home/index.ts
@@ -1,13 +1,7 @@
-export {
-  ClaimRegistry as ClaimRegistry,
-  type ClaimRegistryOptions as ClaimRegistryOptions,
-} from './ClaimRegistry.js';
+export { ClaimRegistry, type ClaimRegistryOptions } from './ClaimRegistry.js';
 export type { Refusal } from './Refusal.js';
 export { ExplainLog } from './ExplainLog.js';
-export {
-  GRANT_DURATION_MS as GRANT_DURATION_MS,
-  type InheritedGrant as InheritedGrant,
-} from './grantRows.js';
+export { GRANT_DURATION_MS, type InheritedGrant } from './grantRows.js';
 export { PoolHome, type PoolHomeOptions } from './PoolHome.js';
 export { PoolVms, type PoolState, type PoolVmsOptions } from './PoolVms.js';
 export { VmProber } from './VmProber.js';
--- a/src/home/syncPoolTables.ts
+++ b/src/home/syncPoolTables.ts
@@ -15,8 +15,8 @@
 /**
  * Determines the condition of a VM.
  *
- * The platform's list lags, so that a VM that leaves or reboots would still get work. Operators'
- * drains and wave steps therefore take precedence over the list.
+ * The platform's list lags, and a VM that leaves or reboots would still get work if only the list
+ * counted. Operators' drains and wave steps therefore take precedence over the list.
  */
 function findCondition(vm: VmRow, options: SyncPoolTablesOptions): PoolVmRow['condition'] {
   const { tables, fleet, withheldVms, isUnreachable } = options;
--- a/tests/home/ClaimRegistry.test.ts
+++ b/tests/home/ClaimRegistry.test.ts
@@ -55,7 +55,7 @@
     { deadlineMs: DEADLINE_MS },
   );
   await join(a, 'a');
-  return { log, a, desk: await openRegistry(a, 'a', 0) };
+  return { log, a, registry: await openRegistry(a, 'a', 0) };
 }
 
 function createRequest(requestId: string, fingerprint = 'same'): GrantRequest {
@@ -80,21 +80,21 @@
   await Promise.all(started.splice(0).map(({ follower }) => follower.stop()));
 });
 
-describe('ClaimDesk', () => {
+describe('ClaimRegistry', () => {
   describe('claim', () => {
-    it('lets a first request pass and settles it', async () => {
-      const { desk } = await createFixture();
+    it('claims a first request and settles it', async () => {
+      const { registry } = await createFixture();
       const request = createRequest('r1');
-      expect(await desk.claim('a', request)).toBeUndefined();
-      expect(await desk.settle('r1', 'run')).toBe(true);
-      expect(desk.findConflict('a', request, false)).toMatchObject({ kind: 'already-run' });
+      expect(await registry.claim('a', request)).toBeUndefined();
+      expect(await registry.settle('r1', 'run')).toBe(true);
+      expect(registry.findConflict('a', request, false)).toMatchObject({ kind: 'already-run' });
     });
 
     // Guards against a request that runs twice: a home is paused until its lease has expired, and
     // the request runs through the new home. The old home resumes without knowing this and gets a
     // retry of the request from another entry VM. Its claim carries the old term.
-    it('refuses through a home that was taken over while it was frozen', async () => {
-      const { log, a, desk } = await createFixture();
+    it('refuses a claim of a home that was replaced while it was paused', async () => {
+      const { log, a, registry } = await createFixture();
       const b = start(log, 'b');
       await join(b, 'b');
       const { renewalOffset } = b.tables.instances.getOrThrow('a');
@@ -108,10 +108,10 @@
         },
         { deadlineMs: DEADLINE_MS },
       );
-      const later = await openRegistry(b, 'b', 1);
-      expect(await later.claim('b', createRequest('r1'))).toBeUndefined();
-      const thawed = start(log, 'a2');
-      const { tables: fleet, writer, clock, events } = thawed;
+      const successor = await openRegistry(b, 'b', 1);
+      expect(await successor.claim('b', createRequest('r1'))).toBeUndefined();
+      const resumed = start(log, 'a2');
+      const { tables: fleet, writer, clock, events } = resumed;
       const stale = new ClaimRegistry({
         pool: POOL,
         instance: 'a',
@@ -121,7 +121,7 @@
         clock,
         events,
       });
-      expect(desk.findConflict('a', createRequest('r1'), false)).toBeUndefined();
+      expect(registry.findConflict('a', createRequest('r1'), false)).toBeUndefined();
       expect(await stale.claim('a', createRequest('r1'))).toMatchObject({
         type: 'refused',
         kind: 'home-unavailable',
@@ -132,47 +132,47 @@
     // The claim is in the log nevertheless; only its answer was lost. When the caller retries after
     // the outage, the request must neither be blocked forever nor run under a claim that is being
     // settled as not run.
-    it('frees a request whose claim was lost, before it lets a repeat pass', async () => {
-      const { log, a, desk } = await createFixture();
+    it('settles a claim whose answer was lost before it accepts a retry', async () => {
+      const { log, a, registry } = await createFixture();
       const request = createRequest('r1');
       log.appendFault = 'lose-answer';
       log.readFault = 'refuse';
-      expect(await desk.claim('a', request)).toMatchObject({ kind: 'log-unavailable' });
+      expect(await registry.claim('a', request)).toMatchObject({ kind: 'log-unavailable' });
       log.appendFault = 'none';
       log.readFault = 'none';
       const isClaimed = () => a.tables.claims.has('r1');
       await expect.poll(isClaimed, { timeout: 5_000 }).toBe(true);
-      expect(await desk.claim('a', request)).toMatchObject({ kind: 'already-running' });
-      desk.tick();
+      expect(await registry.claim('a', request)).toMatchObject({ kind: 'already-running' });
+      registry.tick();
       const isFreed = () => a.tables.claims.get('r1')?.outcome;
       await expect.poll(isFreed, { timeout: 5_000 }).toBe('not-run');
-      expect(await desk.claim('a', request)).toBeUndefined();
+      expect(await registry.claim('a', request)).toBeUndefined();
     });
   });
 
-  describe('findObstacle', () => {
+  describe('findConflict', () => {
     // Guards against a request that runs twice: its entry VM is killed between sending the request
     // and the answer. The caller retries at another entry VM, and it is unknown whether the target
     // has run the request.
-    it('calls a request unknown whose entry instance is gone', async () => {
-      const { log, a, desk } = await createFixture();
+    it('reports an unknown outcome if the entry instance has left', async () => {
+      const { log, a, registry } = await createFixture();
       const b = start(log, 'b');
       await join(b, 'b');
-      await desk.claim('b', createRequest('r1'));
-      expect(desk.findConflict('a', createRequest('r1'), false)).toMatchObject({
+      await registry.claim('b', createRequest('r1'));
+      expect(registry.findConflict('a', createRequest('r1'), false)).toMatchObject({
         kind: 'already-running',
       });
       await b.writer.write({ type: 'instance-left', instance: 'b' }, { deadlineMs: DEADLINE_MS });
       await expect.poll(() => a.tables.instances.get('b')?.state).toBe('left');
-      expect(desk.findConflict('a', createRequest('r1'), false)).toMatchObject({
+      expect(registry.findConflict('a', createRequest('r1'), false)).toMatchObject({
         kind: 'outcome-unknown',
       });
     });
 
     it('refuses another request under the same id', async () => {
-      const { desk } = await createFixture();
-      await desk.claim('a', createRequest('r1'));
-      expect(desk.findConflict('a', createRequest('r1', 'other'), false)).toMatchObject({
+      const { registry } = await createFixture();
+      await registry.claim('a', createRequest('r1'));
+      expect(registry.findConflict('a', createRequest('r1', 'other'), false)).toMatchObject({
         kind: 'request-id-reused',
       });
     });
--- a/tests/home/PoolGrants.test.ts
+++ b/tests/home/PoolGrants.test.ts
@@ -85,14 +85,14 @@
     ['run', []],
     ['failed', []],
     ['cancelled', []],
-  ] as const)('suspects the VM or not where a run ended as %s', (result, expected) => {
+  ] as const)('reports a suspect VM only for certain results: %s', (result, expected) => {
     begin('g1');
     grants.finish(grants.get('g1')!, makeFinish('g1', result));
     expect(suspects).toEqual(expected);
     expect(grants.get('g1')).toBeUndefined();
   });
 
-  it('takes over grants of an earlier home, with a deadline from now on', () => {
+  it('adopts grants of an earlier home with a new deadline', () => {
     clock.advance(5_000);
     const { attemptId, queuedAtMs, deadlineMs, excludedVms, ...request } = makeRequest('g1');
     grants.adopt([{ ...request, grantId: attemptId, vm: VM }]);
--- a/tests/home/VmProber.test.ts
+++ b/tests/home/VmProber.test.ts
@@ -49,11 +49,11 @@
   describe('suspect', () => {
     // Guards against taking work from a healthy VM: its connection goes silent because something
     // in between has lost track of it, but the VM answers a probe on a new connection.
-    it('leaves a VM alone that answers its probe', async () => {
+    it('keeps a VM reachable that answers its probe', async () => {
       expect(await probe([STATUS])).toMatchObject({ isUnreachable: false, probeCount: 1 });
     });
 
-    it('gives a VM no work until it answers again', async () => {
+    it('keeps a VM unreachable until it answers again', async () => {
       expect(await probe([undefined, undefined])).toMatchObject({ isUnreachable: true });
       expect(await probe([undefined, STATUS])).toMatchObject({ isUnreachable: false });
     });
@@ -61,7 +61,7 @@
     // Guards against a VM that stays drained: an operator cancels a drain while the pool changes
     // homes, and the new home never tells the platform. The VM would refuse every task forever
     // although the pool counts its slots.
-    it('tells of a VM that answers and takes no tasks', async () => {
+    it('reports a VM that answers a probe but is draining', async () => {
       expect((await probe([{ ...STATUS, draining: true }])).drained).toEqual(['vm-1']);
     });
   });
--- a/tests/home/WaitingRequests.test.ts
+++ b/tests/home/WaitingRequests.test.ts
@@ -30,14 +30,14 @@
     expect(waiting.has('a1')).toBe(false);
   });
 
-  it('answers all that wait', async () => {
+  it('answers all waiting requests', async () => {
     const { waiting } = setUp();
     const replies = ['a1', 'a2'].map((attemptId) => waiting.add(makeWaiting(attemptId)));
     waiting.answerAll(REFUSAL);
     expect(await Promise.all(replies)).toEqual([REFUSAL, REFUSAL]);
   });
 
-  it('tells of a refusal only where the request still waits', async () => {
+  it('reports a refusal only if the request still waits', async () => {
     const { waiting, events } = setUp();
     const reply = waiting.add(makeWaiting('a1'));
     waiting.refuse('a1', REFUSAL);
--- a/tests/home/WaveRunner.test.ts
+++ b/tests/home/WaveRunner.test.ts
@@ -96,7 +96,7 @@
       expect(calls).toEqual(['drain']);
     });
 
-    it('does not reboot while a grant for the VM is out', async () => {
+    it('does not reboot while a grant for the VM is in use', async () => {
       const { calls, tables, tick } = takeOver(() => IDLE);
       tables.grants.put({
         grantId: 'g',
@@ -119,7 +119,7 @@
     // Guards against a second reboot: the home is paused while it waits for the drain until its
     // lease has expired. It resumes with everything ready for the reboot, but its successor has
     // already rebooted the VM and placed new work on it.
-    it('does not reboot once the lease is gone', async () => {
+    it('does not reboot after the lease is lost', async () => {
       const { calls, world, tick } = takeOver(() => {
         world.holdsLease = false;
         return IDLE;
@@ -128,7 +128,7 @@
       expect(calls).toEqual(['drain']);
     });
 
-    it('takes a VM that shows another boot for rebooted, and returns it', async () => {
+    it('treats a VM with another boot id as rebooted, and undrains it', async () => {
       const { calls, written, tick } = takeOver(() => ({ ...IDLE, bootId: 'boot-2' }));
       await tick();
       await tick();
@@ -139,7 +139,7 @@
     // Guards against a wave that hangs: a home reboots a VM that never comes back, and the pool
     // changes homes before the step is recorded as failed. The next home waited for the drain of
     // the dead VM forever, and the wave neither continued nor stopped.
-    it('gives a VM up that answers nothing at all', async () => {
+    it('fails the step of a VM that does not answer', async () => {
       const { written, clock, tick } = takeOver(() => undefined);
       await tick();
       expect(written).toEqual([]);
--- a/tests/membership/HomePlanner.test.ts
+++ b/tests/membership/HomePlanner.test.ts
@@ -20,7 +20,7 @@
   return new HomePlanner({ instance, candidateStepMs: 500, settleMs: 2_000 });
 }
 
-describe('HomeKeeper', () => {
+describe('HomePlanner', () => {
   describe('decide', () => {
     it('gives every vacant pool to exactly one instance at once', () => {
       const fleet = createFleet(NAMES);
@@ -32,18 +32,18 @@
     // claim must not stay vacant until then.
     it('lets the next candidate claim when the first one does not', () => {
       const fleet = createFleet(NAMES);
-      const keeper = createPlanner('a');
-      keeper.decide(fleet, 0);
-      expect(keeper.decide(fleet, 1_000)).toHaveLength(POOLS.length);
+      const planner = createPlanner('a');
+      planner.decide(fleet, 0);
+      expect(planner.decide(fleet, 1_000)).toHaveLength(POOLS.length);
     });
 
-    it('hands on only the pools of an instance that joined, once it has settled', () => {
+    it('releases only the pools of a newly joined instance, after the settle time', () => {
       const fleet = createFleet(NAMES, 'a');
-      const keeper = createPlanner('a');
-      expect(keeper.decide(fleet, 0)).toEqual([]);
-      const released = keeper.decide(fleet, 2_000).map(({ pool }) => pool);
-      const owed = POOLS.filter((pool) => rankByRendezvous(pool, NAMES)[0] !== 'a');
-      expect(released).toEqual(owed);
+      const planner = createPlanner('a');
+      expect(planner.decide(fleet, 0)).toEqual([]);
+      const released = planner.decide(fleet, 2_000).map(({ pool }) => pool);
+      const expected = POOLS.filter((pool) => rankByRendezvous(pool, NAMES)[0] !== 'a');
+      expect(released).toEqual(expected);
     });
 
     it('decides nothing while this instance is not joined', () => {
--- a/tests/membership/LapseDetector.test.ts
+++ b/tests/membership/LapseDetector.test.ts
@@ -25,47 +25,47 @@
   return new LapseDetector({ instance: 'a', timing: TIMING });
 }
 
-describe('LapseWatch', () => {
+describe('LapseDetector', () => {
   describe('findLapsed', () => {
-    it('names an instance that renewed nothing for a whole lease, with what was seen of it', () => {
+    it('finds an instance that has not renewed its lease, with its last observed renewal', () => {
       const fleet = createFleet();
-      const watch = createDetector();
-      expect(watch.findLapsed(fleet.instances, 0, 0)).toEqual([]);
-      expect(watch.findLapsed(fleet.instances, WAIT_MS - 1, WAIT_MS)).toEqual([]);
-      expect(watch.findLapsed(fleet.instances, WAIT_MS, WAIT_MS)).toEqual([
+      const detector = createDetector();
+      expect(detector.findLapsed(fleet.instances, 0, 0)).toEqual([]);
+      expect(detector.findLapsed(fleet.instances, WAIT_MS - 1, WAIT_MS)).toEqual([]);
+      expect(detector.findLapsed(fleet.instances, WAIT_MS, WAIT_MS)).toEqual([
         { instance: 'b', observedRenewalOffset: 1 },
       ]);
     });
 
-    it('starts the wait anew with each renewal', () => {
+    it('restarts the wait with each renewal', () => {
       const fleet = createFleet();
-      const watch = createDetector();
-      watch.findLapsed(fleet.instances, 0, 0);
+      const detector = createDetector();
+      detector.findLapsed(fleet.instances, 0, 0);
       joinAt(fleet, 'b', 9);
-      watch.findLapsed(fleet.instances, 4_000, 4_000);
-      expect(watch.findLapsed(fleet.instances, WAIT_MS, WAIT_MS)).toEqual([]);
+      detector.findLapsed(fleet.instances, 4_000, 4_000);
+      expect(detector.findLapsed(fleet.instances, WAIT_MS, WAIT_MS)).toEqual([]);
     });
 
     // This instance reads the log slowly. It has seen no renewal for six seconds, but its last read
     // that reached the log's end was sent three seconds ago, and the log holds an unread renewal.
     it('counts only to the last read that reached the end of the log', () => {
       const fleet = createFleet();
-      const watch = createDetector();
-      watch.findLapsed(fleet.instances, 0, 0);
-      expect(watch.findLapsed(fleet.instances, 3_000, 6_000)).toEqual([]);
+      const detector = createDetector();
+      detector.findLapsed(fleet.instances, 0, 0);
+      expect(detector.findLapsed(fleet.instances, 3_000, 6_000)).toEqual([]);
     });
   });
 
   describe('restart', () => {
     // No instance can renew during a log outage of one minute. The first instance to read the log
     // afterwards would end the leases of all others, and every pool would change homes.
-    it('gives everyone a whole lease again after an outage of the log', () => {
+    it('restarts every wait after an outage of the log', () => {
       const fleet = createFleet();
-      const watch = createDetector();
-      watch.findLapsed(fleet.instances, 0, 0);
-      watch.restart();
-      watch.findLapsed(fleet.instances, 60_000, 60_000);
-      expect(watch.findLapsed(fleet.instances, 61_000, 61_000)).toEqual([]);
+      const detector = createDetector();
+      detector.findLapsed(fleet.instances, 0, 0);
+      detector.restart();
+      detector.findLapsed(fleet.instances, 60_000, 60_000);
+      expect(detector.findLapsed(fleet.instances, 61_000, 61_000)).toEqual([]);
     });
   });
 });
--- a/tests/membership/Membership.test.ts
+++ b/tests/membership/Membership.test.ts
@@ -49,7 +49,7 @@
   // A daemon is stopped while a renewal of its lease is in flight. It leaves, another instance
   // takes over its pools, and only then is the renewal read back. The lease was held again for
   // almost 5 s and allowed everything that it protects, such as a reboot in a wave.
-  it('holds no lease once it has left, also where a renewal is read back later', async () => {
+  it('holds no lease after it has left, even if a renewal is read back later', async () => {
     const { membership, clock, settle } = await createJoined();
     expect(membership.holdsLease()).toBe(true);
     clock.advance(DEFAULT_LEASE_TIMING.renewEveryMs);
