--- a/scripts/durableJobMutants.ts
+++ b/scripts/durableJobMutants.ts
@@ -248,7 +248,7 @@
     find: 'this.reload?.afterKey);',
     replace: 'undefined);',
     test: 'tests/store/KeyedFollower.test.ts',
-    name: 'continues a reading of everything with the page that was lost',
+    name: 'resumes a reload with the page that was lost',
   },
   {
     failure: 'an append that no attempt carries to its end',
@@ -317,15 +317,15 @@
   {
     failure: 'calls that fail one after the other on a connection that has gone silent',
     file: 'src/peers/PeerLink.ts',
-    find: "PeerLink.findSilent(call)?.close('the peer is silent');",
+    find: "PeerLink.findSilentConnection(call)?.close('the peer is silent');",
     replace: '',
     test: 'tests/peers/PeerClient.test.ts',
-    name: 'leaves a connection on which a call met silence, before heartbeats find it',
+    name: 'closes a connection on which a call got no data, before heartbeats detect it',
   },
   {
     failure: 'a connection that is left though its peer only waits for the store',
     file: 'src/peers/PeerLink.ts',
-    find: 'PeerLink.findSilent(call)?.ping();',
+    find: 'PeerLink.findSilentConnection(call)?.ping();',
     replace: '{}',
     test: 'tests/peers/PeerClient.test.ts',
     name: 'keeps a connection whose peer answers pings while a call gets no reply',
--- a/scripts/mutantList.ts
+++ b/scripts/mutantList.ts
@@ -141,7 +141,7 @@
     find: 'if (!this.calls.has(number) || this.unsent.has(number)) {',
     replace: 'if (this.unsent.has(number)) {',
     test: PEER_TEST,
-    name: 'drops a reply that comes after its call gave up',
+    name: 'drops a reply that arrives after its call has expired',
   },
   {
     failure: '"not run" of the last attempt after an earlier one ran',
@@ -237,7 +237,7 @@
     find: 'const dispatcher = task.freshConnection\n      ?',
     replace: 'const dispatcher = target.port < 0\n      ?',
     test: TARGET_TEST,
-    name: 'opens a connection of its own where asked to',
+    name: 'opens a new connection if the task asks for one',
   },
   {
     failure: 'work for a VM that is leaving',
--- a/src/store/index.ts
+++ b/src/store/index.ts
@@ -1,9 +1,4 @@
-export type {
-  GroupPort,
-  GroupAssignment as GroupAssignment,
-  JoinRequest,
-  PartitionOwner,
-} from './GroupPort.js';
+export type { GroupPort, GroupAssignment, JoinRequest, PartitionOwner } from './GroupPort.js';
 export type {
   AppendFence,
   AppendRequest,
@@ -15,9 +10,5 @@
   ReadResult,
   StoredRecord,
 } from './KeyedLogPort.js';
-export {
-  decodeRecordWithPrefix as decodeRecordWithPrefix,
-  decodeRecordValue,
-  encodeRecordValue,
-} from './recordValue.js';
+export { decodeRecordWithPrefix, decodeRecordValue, encodeRecordValue } from './recordValue.js';
 export { KeyedFollower, type KeyedFollowerOptions } from './KeyedFollower.js';
--- a/src/targets/index.ts
+++ b/src/targets/index.ts
@@ -13,7 +13,7 @@
   LeasedTargetAddress,
   LeasedTargetPort,
   LeaseRenewal,
-  CommandAnswer as CommandAnswer,
+  CommandAnswer,
   RunningTaskReport,
   StartAnswer,
   StartRefusal,
