--- a/src/entry/Entry.ts
+++ b/src/entry/Entry.ts
@@ -22,7 +22,7 @@
   readonly fleet: FleetTables;
   readonly peers: PeerPort;
   readonly notRunCheck: Pick<NotRunCheck, 'correct'>;
-  /** Gets the settings in force for a pool. */
+  /** Gets the current settings of a pool; undefined if the pool does not exist. */
   readonly getPoolSettings: (pool: string) => PoolSettings | undefined;
 }
 
@@ -33,7 +33,10 @@
 function parseJobState(reply: PeerReply): JobState {
   if (reply.type === 'state') return JSON.parse(reply.json) as JobState;
   if (reply.type === 'refused') throw new RattanliftError({ ...reply });
-  return throwError('internal', `A peer answered a question about a job with ${reply.type}.`);
+  return throwError(
+    'internal',
+    `A peer replied to a job query with the unexpected type ${reply.type}.`,
+  );
 }
 
 function outcomeOf(answer: JobAnswer): 'run' | 'not-run' | 'unknown' {
@@ -41,7 +44,7 @@
 }
 
 function throwPending(kind: ErrorKind | undefined): never {
-  return throwError(kind ?? 'already-running', 'The request has been handled here already.');
+  return throwError(kind ?? 'already-running', 'This instance has already received this request.');
 }
 
 function whenComplete(answer: JobAnswer, action: () => void): void {
@@ -49,13 +52,13 @@
   else finished(answer.body, action);
 }
 
-/** Entry of callers' jobs at this instance. */
+/** Accepts callers' jobs at this instance, runs them and returns their answers. */
 export class Entry implements EntryPort {
   private readonly options: EntryOptions;
 
   private readonly store: JobStore;
 
-  /** Non-idempotent requests under way at this instance. */
+  /** Ids of the non-idempotent requests in progress at this instance. */
   private readonly underWay = new Set<string>();
 
   private runningCount = 0;
@@ -66,7 +69,7 @@
 
   /**
    * Creates the entry of an instance.
-   * @param options - What runs work with, settings, peers.
+   * @param options - Context of job runs, fleet state, pool settings and peers.
    */
   constructor(options: EntryOptions) {
     this.options = options;
@@ -74,17 +77,17 @@
     this.store = new JobStore({ clock, maxJobCount: MAX_STORED_JOB_COUNT });
   }
 
-  /** Count of jobs whose final answer is not complete. */
+  /** Number of jobs whose final answer is not complete. */
   get unfinishedCount(): number {
     return this.runningCount;
   }
 
-  /** Refuses new jobs from now on; those under way go on to their end. */
+  /** Refuses new jobs from now on; jobs in progress run to completion. */
   stopTakingJobs(): void {
     this.isStopping = true;
   }
 
-  /** Forgets finished jobs whose time is over. */
+  /** Removes finished jobs whose retention time is over. */
   tick(): void {
     this.store.tick();
   }
@@ -150,7 +153,7 @@
 
   private async checkNotRun(answer: FailedAnswer, submission: JobSubmission): Promise<JobAnswer> {
     const { isRepeat, missingHeader } = submission;
-    // Only a request that brought an id and a deadline of its own can have been sent before.
+    // Only a request whose caller set its id and deadline can be a repeat.
     if (missingHeader !== undefined) return answer;
     return this.options.notRunCheck.correct(answer, isRepeat);
   }
@@ -170,9 +173,11 @@
   }
 
   /**
-   * Failure: a caller repeats a non-idempotent request while its first attempt is under way here,
-   * or ended without the log having taken the outcome. The claim is this instance's own, so the
-   * pool's home would let it pass.
+   * Runs a non-idempotent job unless this instance has already received its request.
+   *
+   * Without this check, a repeat would run while the first attempt is in progress here, or after it
+   * ended with an outcome that is not recorded in the log yet. The claim belongs to this instance,
+   * so the pool's home would accept the repeat.
    */
   private async runOnce(job: Job, signal: AbortSignal): Promise<JobAnswer> {
     const { requestId } = job;
@@ -199,7 +204,7 @@
     const owner = jobId.slice(0, jobId.lastIndexOf(JOB_ID_SEPARATOR));
     const row = this.options.fleet.instances.get(owner);
     if (row === undefined || row.state !== 'joined') {
-      return throwError('unknown-job', `No instance that runs knows the job ${jobId}.`);
+      return throwError('unknown-job', `No joined instance owns the job ${jobId}.`);
     }
     const address = { instance: row.instance, host: row.host, port: row.peerPort };
     const reply = await this.options.peers.call(address, { type, jobId }, PEER_WAIT_MS);
--- a/src/entry/FinishReporter.ts
+++ b/src/entry/FinishReporter.ts
@@ -19,10 +19,10 @@
 
 const REPORT_WAIT_MS = 4_000;
 const REPEAT_AFTER_MS = 1_000;
-/** How long a claim's settlement is repeated; without it repeats learn nothing of the outcome. */
+/** How long the settlement of a claim is retried; without it, repeats cannot get the outcome. */
 const CLAIMED_KEPT_MS = 3_600_000;
 
-/** Tells homes how grants ended, through changes of home and outages of the log. */
+/** Reports to homes how grants ended; retries across changes of home and outages of the log. */
 export class FinishReporter {
   private readonly options: FinishReporterOptions;
 
@@ -31,21 +31,22 @@
   private readonly sends = new KeyedOnce();
 
   /**
-   * Creates a reporter with nothing to tell.
-   * @param options - Way to the homes, and clock.
+   * Creates a reporter without pending reports.
+   * @param options - Router to the homes, and clock.
    */
   constructor(options: FinishReporterOptions) {
     this.options = options;
   }
 
-  /** Count of reports that no home has taken yet. */
+  /** Number of reports that no home has confirmed yet. */
   get size(): number {
     return this.pending.size;
   }
 
   /**
-   * Tells the home of a pool how a grant ended, and goes on until it is recorded.
-   * @param report - What to tell.
+   * Reports to the home of a pool how a grant ended, and retries until the home confirms it or the
+   * retry time is over.
+   * @param report - The report.
    */
   report(report: FinishReport): void {
     const nowMs = this.options.clock.monotonicMs();
@@ -55,9 +56,9 @@
   }
 
   /**
-   * Gets the outcome of a request whose settlement is not recorded yet.
+   * Gets the report of a request whose settlement is not recorded yet.
    * @param requestId - The request.
-   * @returns The report, or undefined where none is pending.
+   * @returns The report, or undefined if none is pending.
    */
   getPending(requestId: string): FinishReport | undefined {
     const all = Array.from(this.pending.values());
--- a/src/entry/GrantAsker.ts
+++ b/src/entry/GrantAsker.ts
@@ -10,30 +10,30 @@
   readonly job: Job;
   readonly router: Pick<HomeRouter, 'ask'>;
   readonly clock: Clock;
-  /** Ends the job, and with it every request for a grant. */
+  /** Aborts when the job ends; a pending grant request is then withdrawn. */
   readonly signal: AbortSignal;
 }
 
-/** How much longer than the caller's deadline the home's answer is awaited. */
+/** Time past the caller's deadline for which the home's reply is awaited. */
 const HOME_GRACE_MS = 500;
 
-/** Asks the home of a job's pool for grants, and gives back those that are not used. */
+/** Requests grants from the home of a job's pool, and returns unused grants. */
 export class GrantAsker {
   private readonly options: GrantAskerOptions;
 
   /**
-   * Prepares to ask for one job.
-   * @param options - The job and the way to its home.
+   * Creates a requester for one job.
+   * @param options - The job and the router to its home.
    */
   constructor(options: GrantAskerOptions) {
     this.options = options;
   }
 
   /**
-   * Asks for a grant; the request is withdrawn at once where the job ends meanwhile.
+   * Requests a grant; if the job ends before the reply, the request is withdrawn at once.
    * @param attemptId - Id of the attempt.
    * @param excludedVms - VMs that already failed the job.
-   * @returns The home's reply, or why there is none; it never rejects.
+   * @returns The home's reply, or the error that prevented it; the promise never rejects.
    */
   async ask(
     attemptId: string,
@@ -54,7 +54,7 @@
   }
 
   /**
-   * Withdraws a request, or the grant that it got and that is not used.
+   * Withdraws a grant request, or returns its grant if it is granted but unused.
    * @param attemptId - Id of the attempt.
    */
   withdraw(attemptId: string): void {
--- a/src/entry/GrantKeeper.ts
+++ b/src/entry/GrantKeeper.ts
@@ -7,7 +7,7 @@
 export interface UsedGrant extends HeldGrant {
   readonly pool: string;
   readonly target: TargetAddress;
-  /** Called when the target no longer knows the task or does not answer for it. */
+  /** Called when the target no longer knows the task or does not answer renewals. */
   readonly onLost: () => void;
 }
 
@@ -22,10 +22,10 @@
 export const TASK_LEASE_MS = 15_000;
 const RENEW_EVERY_MS = 2_000;
 const RENEW_WAIT_MS = 1_500;
-/** Renewals in a row that a target may miss before its task counts as lost. */
+/** Consecutive failed renewals after which a task counts as lost. */
 const MAX_MISSED_COUNT = 3;
 
-/** Keeps grants and task leases alive while this instance uses them. */
+/** Renews the grants and task leases that this instance uses. */
 export class GrantKeeper {
   private readonly options: GrantKeeperOptions;
 
@@ -38,20 +38,20 @@
   private renewAtMs = Number.NEGATIVE_INFINITY;
 
   /**
-   * Creates a keeper without grants.
-   * @param options - Ways to the homes and the targets.
+   * Creates a renewer without grants.
+   * @param options - Router to the homes, port to the targets, and clock.
    */
   constructor(options: GrantKeeperOptions) {
     this.options = options;
   }
 
-  /** Count of grants in use. */
+  /** Number of grants in use. */
   get size(): number {
     return this.grants.size;
   }
 
   /**
-   * Begins to keep a grant.
+   * Starts to renew a grant.
    * @param grant - The grant.
    */
   add(grant: UsedGrant): void {
@@ -59,8 +59,8 @@
   }
 
   /**
-   * Ends keeping a grant.
-   * @param grantId - The grant.
+   * Stops renewing a grant.
+   * @param grantId - Id of the grant.
    */
   remove(grantId: string): void {
     this.grants.delete(grantId);
@@ -68,7 +68,7 @@
   }
 
   /**
-   * Lists the grants of a pool, for a home that takes over.
+   * Lists the grants of a pool for a new home that takes over.
    * @param pool - Pool as `team/pool`.
    * @returns The grants in use.
    */
@@ -87,7 +87,7 @@
       }));
   }
 
-  /** Renews what is due. */
+  /** Renews all grants and task leases if a renewal is due. */
   tick(): void {
     const nowMs = this.options.clock.monotonicMs();
     if (nowMs < this.renewAtMs) return;
@@ -112,9 +112,11 @@
   }
 
   /**
-   * Failure: the connection that carries a task went silent for good, or its target was lost, and
-   * the caller would wait until its deadline. Renewals travel on other connections, so a target
-   * that no longer knows the task, or answers none of them, shows the loss.
+   * Renews the lease of a task at its target, and reports the task as lost after too many failures.
+   *
+   * If the connection of a task goes silent for good, or its target is lost, the caller would wait
+   * until its deadline. Renewals use other connections, so they detect a target that no longer
+   * knows the task or does not answer.
    */
   private async renewAtTarget(grant: UsedGrant): Promise<void> {
     const { clock, targets } = this.options;
--- a/src/entry/GrantReports.ts
+++ b/src/entry/GrantReports.ts
@@ -11,25 +11,25 @@
   readonly reporter: Pick<FinishReporter, 'report'>;
 }
 
-/** Tells the home how the grants of one job ended, and settles the job's claim once. */
+/** Reports to the home how the grants of one job ended, and settles the job's claim once. */
 export class GrantReports {
   private readonly options: GrantReportsOptions;
 
-  /** Whether the request may stand on the log as claimed by this instance. */
+  /** Whether the log may contain an open claim of this instance for the request. */
   private isClaimed = false;
 
   private lastVm = '';
 
   /**
-   * Prepares the reports of a job without a grant.
-   * @param options - The job, and where its grants are kept and told of.
+   * Creates a reporter for a job that has no grant yet.
+   * @param options - The job, the renewer of its grants, and the reporter to the homes.
    */
   constructor(options: GrantReportsOptions) {
     this.options = options;
   }
 
   /**
-   * Takes note of a grant; the home has claimed the request for it where it must run at most once.
+   * Records a grant. The home has claimed the request if it must run at most once.
    * @param grant - The grant.
    */
   noteGranted(grant: GrantReply): void {
@@ -38,10 +38,10 @@
   }
 
   /**
-   * Ends a grant whose attempt settles the request.
+   * Reports the end of a grant whose attempt settles the request.
    * @param grant - The grant.
    * @param result - How its use ended.
-   * @param outcome - What became of the request.
+   * @param outcome - Outcome of the request.
    * @param ranMs - How long it ran, in milliseconds.
    */
   endGrant(grant: GrantReply, result: GrantResult, outcome: Outcome, ranMs: number): void {
@@ -52,7 +52,7 @@
   }
 
   /**
-   * Ends a grant after which the request goes on, or is settled by {@link settle}.
+   * Reports the end of a grant whose request continues, or is settled by {@link settle}.
    * @param grant - The grant.
    * @param result - How its use ended.
    * @param ranMs - How long it ran, in milliseconds.
@@ -62,11 +62,11 @@
   }
 
   /**
-   * Settles the claim of a request that has got its final answer without one from a target. Only
-   * the last attempt settles: a settlement as not run frees the id, and one that belongs to an
-   * earlier attempt would free it while a later attempt runs.
+   * Settles the claim of a request whose final answer does not come from a target. Only the last
+   * attempt settles the claim: a settlement as not run frees the request id, so the settlement of
+   * an earlier attempt would free it while a later attempt runs.
    * @param attemptId - Id of the last attempt.
-   * @param outcome - What became of the request.
+   * @param outcome - Outcome of the request.
    */
   settle(attemptId: string, outcome: Outcome): void {
     if (!this.isClaimed) return;
--- a/src/entry/HomeRouter.ts
+++ b/src/entry/HomeRouter.ts
@@ -11,20 +11,20 @@
   readonly peers: PeerPort;
   /** Handles requests that this instance sends to itself. */
   readonly handleLocally: (from: string, request: PeerRequest) => Promise<PeerReply>;
-  /** Tells whether the log cannot be read just now. */
+  /** Tells whether the log is currently unreadable. */
   readonly isLogOut: () => boolean;
 }
 
-/** Instance that decides for a pool while the log is out and its home does not answer. */
+/** Acts as a pool's home while the log is unreadable and the home does not answer. */
 interface StandIn {
   readonly instance: string;
-  /** Term of the home that it stands in for; a later one ends it. */
+  /** Term of the home that it replaces; a later term ends the replacement. */
   readonly term: number;
 }
 
 const MAX_CANDIDATE_COUNT = 3;
 
-/** Finds the home of a pool by the log, and asks it: here, or at a peer. */
+/** Finds the home of a pool from the log, and sends requests to it, locally or at a peer. */
 export class HomeRouter {
   private readonly options: HomeRouterOptions;
 
@@ -32,16 +32,16 @@
 
   /**
    * Creates a router.
-   * @param options - State by the log, and the ways to ask.
+   * @param options - State from the log, and the local and remote request handlers.
    */
   constructor(options: HomeRouterOptions) {
     this.options = options;
   }
 
   /**
-   * Gets the instance that decides for a pool.
+   * Gets the home of a pool.
    * @param pool - Pool as `team/pool`.
-   * @returns The instance, or undefined while there is none.
+   * @returns The instance, or undefined if the pool has no home.
    */
   getHome(pool: string): InstanceRow | undefined {
     const { fleet } = this.options;
@@ -50,13 +50,13 @@
   }
 
   /**
-   * Asks the home of a pool, or its stand-in.
+   * Sends a request to the home of a pool, or to its stand-in.
    * @param pool - Pool as `team/pool`.
-   * @param request - What to ask.
+   * @param request - The request.
    * @param waitMs - Longest wait for the reply, in milliseconds.
    * @returns The reply.
-   * @throws RattanliftError Of kind `home-unavailable` where the pool has no home, which certainly
-   * did nothing, or `peer-unavailable` where no reply came, and the home may have acted.
+   * @throws RattanliftError Of kind `home-unavailable` if the pool has no home, so the request was
+   * certainly not handled, or `peer-unavailable` if no reply came, so the home may have acted.
    */
   async ask(pool: string, request: PeerRequest, waitMs: number): Promise<PeerReply> {
     const standIn = this.findStandIn(pool);
@@ -70,7 +70,7 @@
   }
 
   private getHomeOrThrow(pool: string): InstanceRow {
-    return this.getHome(pool) ?? throwError('home-unavailable', `${pool} has no home just now.`);
+    return this.getHome(pool) ?? throwError('home-unavailable', `Pool ${pool} has no home now.`);
   }
 
   private askInstance(row: InstanceRow, request: PeerRequest, waitMs: number): Promise<PeerReply> {
@@ -81,9 +81,11 @@
   }
 
   /**
-   * Failure: a home is lost while the log is out. No other instance can become the home, and the
-   * pool would be without one for the whole outage. Work that may run twice can do without: at
-   * worst a slot is given twice, which its target refuses.
+   * Tells whether a stand-in may handle a request.
+   *
+   * If a home is lost while the log is unreadable, no other instance can become the home, and the
+   * pool would have none for the whole outage. Idempotent requests do not need a real home: at
+   * worst, a slot is granted twice, and the target refuses the second task.
    */
   private mayUseStandIn(request: PeerRequest): boolean {
     return request.type === 'request-grant' && request.idempotent && this.options.isLogOut();
--- a/src/entry/Job.ts
+++ b/src/entry/Job.ts
@@ -2,7 +2,7 @@
 import { throwError } from '../errors/index.js';
 import type { JobKindSettings, PoolSettings, Urgency } from '../settings/index.js';
 
-/** A job with everything that its pool's settings add to it. */
+/** A job, completed with the defaults of its pool's settings. */
 export interface Job {
   readonly requestId: string;
   /** Pool as `team/pool`. */
@@ -19,7 +19,7 @@
   readonly isRepeat: boolean;
   readonly contentType: string;
   readonly body: Buffer;
-  /** Hash of the request, to tell a repeat from a reused id. */
+  /** Hash of the request; distinguishes a repeat from a reused id. */
   readonly fingerprint: string;
 }
 
@@ -32,13 +32,13 @@
 }
 
 /**
- * Completes a submission from the settings of its pool.
+ * Completes a submission with the settings of its pool.
  * @param submission - What the caller sent.
- * @param settings - Settings in force for the pool.
+ * @param settings - Current settings of the pool.
  * @param fingerprint - Hash of the request.
  * @returns The job.
- * @throws RattanliftError Of kind `bad-request` where the pool has no such kind of job, or a header
- * is missing that a non-idempotent job needs.
+ * @throws RattanliftError Of kind `bad-request` if the pool does not have the job kind, or if a
+ * header that a non-idempotent job requires is missing.
  */
 export function createJob(
   submission: JobSubmission,
@@ -50,7 +50,7 @@
   const declared = getJobKindOrThrow(settings, jobKind);
   const idempotent = submission.idempotent ?? declared.idempotent;
   if (!idempotent && missingHeader !== undefined) {
-    return throwError('bad-request', `A ${jobKind} needs the header ${missingHeader}.`, {
+    return throwError('bad-request', `Job kind ${jobKind} requires the header ${missingHeader}.`, {
       field: missingHeader,
     });
   }
--- a/src/entry/JobRun.ts
+++ b/src/entry/JobRun.ts
@@ -18,7 +18,7 @@
 import type { Job } from './Job.js';
 import type { RetryBudget } from './RetryBudget.js';
 
-/** What every run at this instance works with. */
+/** Dependencies that all job runs of an instance share. */
 export interface JobRunContext {
   readonly instance: string;
   readonly router: HomeRouter;
@@ -29,9 +29,9 @@
   readonly clock: Clock;
   readonly events: EventLog;
   readonly metrics: Metrics;
-  /** Makes an id that no other attempt has. */
+  /** Creates a unique attempt id. */
   readonly createAttemptId: (requestId: string) => string;
-  /** Waits until a pool may have got another home. */
+  /** Waits until a pool may have a new home. */
   readonly waitForHome: (pool: string, signal: AbortSignal) => Promise<void>;
 }
 
@@ -42,18 +42,18 @@
   | { readonly type: 'again'; readonly error: RattanliftError; readonly excludedVm?: string };
 
 const MAX_ATTEMPT_COUNT = 4;
-/** Safety margin before a grant's end within which nothing is sent any more. */
+/** Safety margin before a grant's end; within it, nothing is sent to the target. */
 const GRANT_MARGIN_MS = 500;
-/** How long a request waits for a pool that is between two homes. */
+/** How long a request waits for a pool that has no home. */
 const HOME_WAIT_MS = 2_000;
 const SERVER_ERROR_STATUS = 500;
 
 function endByExpiry(): AttemptEnd {
-  const message = 'The grant ended before it could be used.';
+  const message = 'The grant expired before it was used.';
   return { type: 'again', error: new RattanliftError({ kind: 'home-unavailable', message }) };
 }
 
-/** One job on its way: grants, attempts on targets, and the final answer. */
+/** Runs one job: requests grants, makes attempts on targets, and returns the final answer. */
 export class JobRun {
   private readonly context: JobRunContext;
 
@@ -65,17 +65,17 @@
 
   private readonly reports: GrantReports;
 
-  /** Monotonic time after which a pool without a home is no longer waited for. */
+  /** Monotonic time after which the run stops waiting for a pool without a home. */
   private readonly homeWaitEndsAtMs: number;
 
-  /** Strongest of what became of earlier attempts. */
+  /** Strongest outcome of the earlier attempts, see {@link findStrongest}. */
   private earlierOutcome: Outcome = 'not-run';
 
   private lastAttemptId = '';
 
   /**
-   * Prepares a run.
-   * @param context - What the run works with.
+   * Creates a run without starting it.
+   * @param context - Shared dependencies.
    * @param job - The job.
    * @param signal - Aborts when the caller goes away, cancels, or its deadline passes.
    */
@@ -91,7 +91,7 @@
 
   /**
    * Runs the job.
-   * @returns The final answer; it never rejects.
+   * @returns The final answer; the promise never rejects.
    */
   async run(): Promise<JobAnswer> {
     this.context.retryBudget.earn();
@@ -108,8 +108,8 @@
     if (end.type === 'final') return end.answer;
     if (this.signal.aborted) return this.fail(end.error);
     const { events, metrics, clock, retryBudget } = this.context;
-    // A pool between two homes is waited for, for a bounded time; no target saw the request, so
-    // this is no retry that could flood one.
+    // Waits a bounded time for a pool that has no home. No target received the request, so this
+    // does not count as a retry, which could overload a target.
     if (end.error.kind === 'home-unavailable') {
       if (clock.monotonicMs() >= this.homeWaitEndsAtMs) return this.fail(end.error);
       return this.attemptFrom(attemptNumber, excludedVms);
@@ -131,8 +131,8 @@
     if (reply instanceof RattanliftError) return this.endWithoutReply(reply);
     if (reply.type !== 'granted') return this.endByRefusal(reply);
     this.reports.noteGranted(reply);
-    // Failure: this process was paused, or the grant's answer was, and the slot belongs to another
-    // request by now. Counted from before the asking, the deadline here is ahead of the home's.
+    // If this process was paused, or the reply was delayed, the slot may belong to another request
+    // by now. This deadline counts from before the request, so it ends before the home's deadline.
     const deadlineMs = askedAtMs + reply.heldMs + GRANT_DURATION_MS - GRANT_MARGIN_MS;
     if (this.signal.aborted || clock.monotonicMs() >= deadlineMs) {
       this.asker.withdraw(this.lastAttemptId);
@@ -141,24 +141,24 @@
     return this.runOnTarget(reply);
   }
 
-  /** No reply came: the home may have acted, but nothing was sent to a target. */
+  /** Handles a missing reply: the home may have acted, but nothing was sent to a target. */
   private async endWithoutReply(error: RattanliftError): Promise<AttemptEnd> {
     this.asker.withdraw(this.lastAttemptId);
     if (this.signal.aborted) return this.endByAbort('not-run');
     await this.context.waitForHome(this.job.pool, this.signal);
-    const message = `The pool's home could not be asked: ${error.message}`;
+    const message = `The request to the pool's home failed: ${error.message}`;
     return { type: 'again', error: new RattanliftError({ kind: 'home-unavailable', message }) };
   }
 
   private async endByRefusal(reply: PeerReply): Promise<AttemptEnd> {
     if (reply.type !== 'refused') {
-      const message = `The home answered a request for a grant with ${reply.type}.`;
+      const message = `The home replied to a grant request with the unexpected type ${reply.type}.`;
       return this.endWithoutReply(new RattanliftError({ kind: 'internal', message }));
     }
     const { kind, message, retryAtMs } = reply;
     const error = new RattanliftError({ kind, message, retryAtMs });
     if (kind === 'cancelled' && this.signal.aborted) return this.endByAbort('not-run');
-    // The home gives a job up that ended badly on several VMs; whether it ran there is known here.
+    // The home rejects a job that failed on several VMs; only this run knows whether it ran there.
     const outcome = kind === 'target-failed' ? this.earlierOutcome : undefined;
     if (kind !== 'home-unavailable') return { type: 'final', answer: this.fail(error, outcome) };
     await this.context.waitForHome(this.job.pool, this.signal);
@@ -232,7 +232,7 @@
   }
 
   private endByUnknown(grant: GrantReply, reason: string, ranMs: number): AttemptEnd {
-    const message = `${grant.vm} gave no answer to the end: ${reason}.`;
+    const message = `${grant.vm} did not return a complete answer: ${reason}.`;
     const error = new RattanliftError({ kind: 'target-silent', message });
     if (this.job.idempotent) {
       this.reports.endGrant(grant, this.signal.aborted ? 'cancelled' : 'unknown', 'unknown', ranMs);
@@ -240,8 +240,8 @@
       if (this.signal.aborted) return this.endByAbort('unknown');
       return { type: 'again', error, excludedVm: grant.vm };
     }
-    // Failure: the target got a request that must run at most once and then fell silent. It may
-    // have run, so it is neither sent again nor called not run.
+    // The target received a request that must run at most once, and then stopped answering. The
+    // request may have run, so it is not sent again and not reported as not run.
     this.reports.reportAttempt(grant, this.signal.aborted ? 'cancelled' : 'unknown', ranMs);
     return { type: 'final', answer: this.fail(error, 'unknown') };
   }
@@ -256,8 +256,8 @@
   private fail(error: RattanliftError, outcome?: Outcome): JobAnswer {
     const { requestId } = this.job;
     const known = outcome ?? ERROR_ANSWERS[error.kind].outcome;
-    // Failure: a first attempt runs and fails, the next one finds no VM, and the caller is told of
-    // the last one that the job was not run. What an earlier attempt did stays part of the answer.
+    // The answer includes the outcome of earlier attempts. Otherwise, if the first attempt runs
+    // and fails and the next one finds no VM, the caller would be told that the job did not run.
     const strongest = findStrongest(this.earlierOutcome, known);
     return { type: 'failed', requestId, outcome: strongest, error };
   }
--- a/src/entry/JobStore.ts
+++ b/src/entry/JobStore.ts
@@ -3,18 +3,18 @@
 import { Table } from '../tables/index.js';
 import type { Clock } from '../utils/index.js';
 
-/** A submitted job at the instance that runs it. */
+/** A submitted job, stored at the instance that runs it. */
 export interface StoredJob {
   readonly state: JobState;
   readonly abort: AbortController;
-  /** Monotonic time after which a finished job is forgotten; undefined until it has finished. */
+  /** Monotonic time at which the finished job is removed; undefined until it has finished. */
   readonly forgetAtMs: number | undefined;
 }
 
 /** Options of {@link JobStore}. */
 export interface JobStoreOptions {
   readonly clock: Clock;
-  /** Most jobs that are kept, finished or not. */
+  /** Maximum number of stored jobs, finished or not. */
   readonly maxJobCount: number;
 }
 
@@ -28,7 +28,7 @@
     if (done) return Buffer.concat(chunks);
     const nextSizeBytes = sizeBytes + value.length;
     if (nextSizeBytes > MAX_ANSWER_BYTES) {
-      return throwError('answer-cut', 'The answer is too large to be kept.');
+      return throwError('answer-cut', 'The answer is too large to store.');
     }
     return readOn([...chunks, value], nextSizeBytes);
   };
@@ -49,7 +49,7 @@
   }
 }
 
-/** Jobs that were submitted without waiting, with their answers until they are forgotten. */
+/** Stores jobs that were submitted without waiting, and their answers until they expire. */
 export class JobStore {
   private readonly options: JobStoreOptions;
 
@@ -61,36 +61,36 @@
 
   /**
    * Creates an empty store.
-   * @param options - Clock and bound.
+   * @param options - Clock and maximum number of jobs.
    */
   constructor(options: JobStoreOptions) {
     this.options = options;
   }
 
   /**
-   * Gets the state of a job.
-   * @param jobId - The job.
-   * @returns Its state.
-   * @throws RattanliftError Of kind `unknown-job`.
+   * Gets a job.
+   * @param jobId - Id of the job.
+   * @returns The stored job.
+   * @throws RattanliftError Of kind `unknown-job` if the job is not stored.
    */
   getOrThrow(jobId: string): StoredJob {
     return this.jobs.getOrThrow(jobId);
   }
 
-  /** Count of jobs that have not finished. */
+  /** Number of jobs that have not finished. */
   get unfinishedCount(): number {
     return this.jobs.list().filter((job) => job.forgetAtMs === undefined).length;
   }
 
   /**
    * Adds a job that is about to run.
-   * @param state - Its first state.
+   * @param state - Its initial state.
    * @returns The stored job.
-   * @throws RattanliftError Of kind `queue-full`.
+   * @throws RattanliftError Of kind `queue-full` if the store is full.
    */
   add(state: JobState): StoredJob {
     if (this.jobs.size >= this.options.maxJobCount) {
-      return throwError('queue-full', 'This instance keeps as many jobs as it can.');
+      return throwError('queue-full', 'This instance already stores its maximum number of jobs.');
     }
     const job: StoredJob = { state, abort: new AbortController(), forgetAtMs: undefined };
     this.jobs.put(job);
@@ -98,8 +98,8 @@
   }
 
   /**
-   * Takes in the answer of a job.
-   * @param jobId - The job.
+   * Stores the answer of a job.
+   * @param jobId - Id of the job.
    * @param answer - Its answer; the body is read to its end.
    */
   async finish(jobId: string, answer: JobAnswer): Promise<void> {
@@ -109,7 +109,7 @@
     this.jobs.put({ ...job, forgetAtMs, state: { ...job.state, phase: 'finished', ...end } });
   }
 
-  /** Forgets finished jobs whose time is over. */
+  /** Removes finished jobs whose retention time is over. */
   tick(): void {
     const nowMs = this.options.clock.monotonicMs();
     this.jobs
--- a/src/entry/NotRunCheck.ts
+++ b/src/entry/NotRunCheck.ts
@@ -6,7 +6,7 @@
 export interface NotRunCheckOptions {
   readonly instance: string;
   readonly fleet: FleetTables;
-  /** Reads the log to its end; tells whether that worked. */
+  /** Reads the log to its end, and returns whether that succeeded. */
   readonly readToEnd: () => Promise<boolean>;
 }
 
@@ -14,8 +14,8 @@
 export type FailedAnswer = Extract<JobAnswer, { readonly type: 'failed' }>;
 
 /**
- * Kinds of refusal that the pool's home gives while its lease holds. All claims of the pool pass
- * through it, so it knows that no earlier attempt has run.
+ * Error kinds of refusals that the pool's home issues while it holds its lease. All claims of the
+ * pool pass through the home, so it knows that no earlier attempt has run.
  */
 const KINDS_OF_HOME: ReadonlySet<ErrorKind> = new Set([
   'queue-full',
@@ -30,22 +30,22 @@
   return { ...answer, error, outcome: ERROR_ANSWERS[kind].outcome };
 }
 
-/** Checks against the log that a non-idempotent request called "not run" has not run earlier. */
+/** Checks in the log whether a non-idempotent request answered as "not run" has run earlier. */
 export class NotRunCheck {
   private readonly options: NotRunCheckOptions;
 
   /**
    * Creates a check.
-   * @param options - State by the log, and the way to bring it up to date.
+   * @param options - State from the log, and the function that updates it.
    */
   constructor(options: NotRunCheckOptions) {
     this.options = options;
   }
 
   /**
-   * Finds what became of earlier attempts at a request that is refused for its form.
-   * @param requestId - The request.
-   * @returns The outcome, or undefined where no attempt is on record.
+   * Finds the outcome of earlier attempts at a request that is refused as malformed.
+   * @param requestId - Id of the request.
+   * @returns The outcome, or undefined if no attempt is recorded.
    */
   async findEarlierOutcome(requestId: string): Promise<Outcome | undefined> {
     await this.options.readToEnd();
@@ -56,13 +56,14 @@
   /**
    * Corrects an answer that says "not run".
    *
-   * Failure: a caller repeats a save whose first attempt has run, at an instance that is cut off,
-   * has just woken from a pause, or is stopping. That instance refuses, and "not run" would be
-   * taken for the fate of the save. So the log is read to its end before; where it cannot be read,
-   * only a request that its caller sends for the first time is certain not to have run.
+   * A caller may repeat a save whose first attempt has run, at an instance that is cut off, has
+   * just resumed from a pause, or is stopping. That instance refuses the repeat, and the caller
+   * would take "not run" as the outcome of the save. Therefore, the log is read to its end first.
+   * If it cannot be read, only a request that its caller sends for the first time is certain not to
+   * have run.
    * @param answer - The answer.
    * @param isRepeat - Whether the caller says that it has sent the request before.
-   * @returns The same answer, or one that says what became of the earlier attempt.
+   * @returns The same answer, or one with the outcome of the earlier attempt.
    */
   async correct(answer: FailedAnswer, isRepeat: boolean): Promise<FailedAnswer> {
     if (answer.outcome !== 'not-run' || KINDS_OF_HOME.has(answer.error.kind)) return answer;
@@ -70,7 +71,7 @@
     const claim = this.options.fleet.claims.get(answer.requestId);
     if (claim === undefined) {
       if (isCurrent || !isRepeat) return answer;
-      return replace(answer, 'outcome-unknown', 'What became of an earlier attempt is not known.');
+      return replace(answer, 'outcome-unknown', 'The outcome of an earlier attempt is unknown.');
     }
     switch (claim.outcome) {
       case 'not-run':
@@ -78,8 +79,8 @@
       case 'run':
         return replace(answer, 'already-run', 'An earlier attempt has run.');
       default:
-        // An open claim of this instance belongs to the run that is answered here, which sent
-        // nothing: no second run of a request goes on at the same instance.
+        // An open claim of this instance belongs to the run that this answer ends, which sent
+        // nothing: an instance never has two runs of the same request in progress.
         if (claim.outcome === undefined && claim.entry === this.options.instance) return answer;
         return replace(answer, 'outcome-unknown', 'An earlier attempt may have run.');
     }
--- a/src/entry/RetryBudget.ts
+++ b/src/entry/RetryBudget.ts
@@ -1,27 +1,27 @@
 /** Options of {@link RetryBudget}. */
 export interface RetryBudgetOptions {
-  /** Retries that each first attempt earns. */
+  /** Retries that each first attempt adds to the budget. */
   readonly earnedPerRequest: number;
-  /** Most retries that can be saved up. */
+  /** Maximum number of retries in the budget. */
   readonly maxSavedCount: number;
 }
 
-/** Bounds retries to a share of the requests, so that failing targets are not flooded. */
+/** Limits retries to a share of the requests, so that failing targets are not overloaded. */
 export class RetryBudget {
   private readonly options: RetryBudgetOptions;
 
   private savedCount: number;
 
   /**
-   * Creates a budget with all its savings.
-   * @param options - Rate and bound.
+   * Creates a full budget.
+   * @param options - Rate and maximum.
    */
   constructor(options: RetryBudgetOptions) {
     this.options = options;
     this.savedCount = options.maxSavedCount;
   }
 
-  /** Notes a first attempt. */
+  /** Adds the share of a first attempt to the budget. */
   earn(): void {
     const { earnedPerRequest, maxSavedCount } = this.options;
     this.savedCount = Math.min(maxSavedCount, this.savedCount + earnedPerRequest);
@@ -29,7 +29,7 @@
 
   /**
    * Takes one retry.
-   * @returns Whether there was one left.
+   * @returns Whether a retry was available.
    */
   spend(): boolean {
     if (this.savedCount < 1) return false;
--- a/src/entry/createFingerprint.ts
+++ b/src/entry/createFingerprint.ts
@@ -2,9 +2,9 @@
 import type { JobSubmission } from '../callers/index.js';
 
 /**
- * Hashes what makes two requests the same one.
+ * Hashes the parts of a request that identify a repeat of it.
  * @param submission - The request.
- * @returns A digest of pool, team, kind and body; a repeat may carry a later deadline.
+ * @returns A digest of pool, team, kind and body; a repeat may have a later deadline.
  */
 export function createFingerprint(submission: JobSubmission): string {
   const { pool, team, jobKind, body } = submission;
--- a/src/entry/createGrantRequest.ts
+++ b/src/entry/createGrantRequest.ts
@@ -2,7 +2,7 @@
 import type { Job } from './Job.js';
 
 /**
- * Creates what an attempt at a job asks of the pool's home.
+ * Creates the grant request that an attempt at a job sends to the pool's home.
  * @param job - The job.
  * @param attemptId - Id of the attempt.
  * @param excludedVms - VMs that already failed the job.
--- a/src/entry/createTaskRequest.ts
+++ b/src/entry/createTaskRequest.ts
@@ -4,18 +4,18 @@
 import { TASK_LEASE_MS } from './GrantKeeper.js';
 import type { Job } from './Job.js';
 
-/** How {@link createTaskRequest} bounds a task. */
+/** Options of {@link createTaskRequest}. */
 export interface TaskRequestOptions {
   readonly clock: Clock;
-  /** Ends the attempt. */
+  /** Aborts the attempt. */
   readonly signal: AbortSignal;
 }
 
 /**
- * Creates the task that a job becomes on the VM of a grant.
+ * Creates the task that runs a job on the VM of a grant.
  * @param job - The job.
  * @param grant - The grant.
- * @param options - Clock of its deadlines, and what ends it.
+ * @param options - Clock for the deadlines, and the abort signal.
  * @returns The task.
  */
 export function createTaskRequest(
@@ -32,8 +32,8 @@
     memoryMb,
     contentType,
     body,
-    // Failure: a middlebox has forgotten an idle connection, and a request that must not be sent
-    // twice vanishes on it. A connection of its own cannot have been forgotten.
+    // A middlebox may drop the state of an idle connection, and a request that must not be sent
+    // twice is then lost on it. A fresh connection avoids this.
     freshConnection: !job.idempotent,
     leaseDeadlineMs: clock.wallMs() + TASK_LEASE_MS,
     silenceLimitMs: Math.max(1, job.deadlineAtMs - clock.wallMs()),
--- a/src/entry/createUsedGrant.ts
+++ b/src/entry/createUsedGrant.ts
@@ -4,12 +4,12 @@
 import type { Job } from './Job.js';
 
 /**
- * Describes a grant that a job uses from now on.
+ * Creates the record of a grant that a job starts to use.
  * @param job - The job.
  * @param grant - The grant.
- * @param target - Where the job runs.
- * @param onLost - Called when the target no longer knows the task or does not answer for it.
- * @returns What has to be kept alive.
+ * @param target - Address of the target that runs the job.
+ * @param onLost - Called when the target no longer knows the task or does not answer renewals.
+ * @returns The grant to renew.
  */
 export function createUsedGrant(
   job: Job,
--- a/src/entry/findStrongest.ts
+++ b/src/entry/findStrongest.ts
@@ -3,10 +3,10 @@
 const OUTCOMES_BY_STRENGTH: readonly Outcome[] = ['not-run', 'unknown', 'run'];
 
 /**
- * Finds what became of a request from what became of two of its attempts.
+ * Combines the outcomes of two attempts at a request.
  * @param one - Outcome of one attempt.
  * @param other - Outcome of the other.
- * @returns The one that says more of the request having run.
+ * @returns The stronger outcome: `run` outranks `unknown`, which outranks `not-run`.
  */
 export function findStrongest(one: Outcome, other: Outcome): Outcome {
   const strengthOf = (outcome: Outcome) => OUTCOMES_BY_STRENGTH.indexOf(outcome);
--- a/tests/entry/GrantAsker.test.ts
+++ b/tests/entry/GrantAsker.test.ts
@@ -46,7 +46,7 @@
     expect(await asking).toEqual({ type: 'done' });
   });
 
-  it('leaves the request of an attempt that is over alone', async () => {
+  it('does not withdraw the request of an attempt that has ended', async () => {
     const { asker, asked, caller } = setUp(() => Promise.resolve({ type: 'done' }));
     await asker.ask('a1', []);
     caller.abort();
--- a/tests/entry/JobRun.test.ts
+++ b/tests/entry/JobRun.test.ts
@@ -19,11 +19,11 @@
 
 interface Script {
   readonly idempotent: boolean;
-  /** What targets do with each attempt in turn. */
+  /** Result that the target returns for each attempt, in order. */
   readonly results: readonly TaskResult[];
-  /** What the home says to each request for a grant in turn; a grant where there is none. */
+  /** Refusal of the home for each grant request, in order; a missing entry grants it. */
   readonly refusals?: readonly (ErrorKind | undefined)[];
-  /** Time that passes while the home holds the request. */
+  /** Time that the home takes to reply, in milliseconds. */
   readonly heldAtHomeMs?: number;
 }
 
@@ -31,7 +31,7 @@
   return { type: 'answering', httpStatus, contentType: 'text/plain', body: Readable.from(['x']) };
 }
 
-/** Runs a job by a script and tells the answer, the tasks sent and the reports to the home. */
+/** Runs a job by a script; returns its answer, the tasks sent and the settled outcomes. */
 async function play(script: Script) {
   const clock = new ManualClock();
   const tasks: TaskRequest[] = [];
@@ -95,7 +95,8 @@
 
 describe('JobRun', () => {
   describe('run', () => {
-    // Story: a target gets a page save and falls silent. It may have stored the page.
+    // Guards against a repeated page save: the target receives the save and stops answering, but
+    // may have stored the page.
     it('never sends a non-idempotent request again once it has left', async () => {
       const played = await play({ idempotent: false, results: [SILENT, answer(200)] });
       expect(played.tasks).toHaveLength(1);
@@ -109,20 +110,20 @@
       expect(played.tasks.every((task) => task.freshConnection)).toBe(true);
     });
 
-    // Story: a draining VM refuses a save, the next VM gets it, and a settlement as "not run" of
-    // the first attempt reaches the log while the second one runs. A repeat would run beside it.
+    // Guards against two concurrent runs of a save: a draining VM refuses it, the next VM runs it,
+    // and the log records "not run" for the first attempt meanwhile, so a repeat would also run.
     it('settles a claim once, with the last attempt', async () => {
       const played = await play({ idempotent: false, results: [REFUSED, SILENT] });
       expect(played.settled).toEqual(['unknown']);
     });
 
-    // Story: a search runs on a VM that answers 500 (or never), the next attempt finds no VM, and
-    // the caller was told "not run" of a job that had run.
+    // Guards against "not run" for a job that ran: a search runs on a VM that answers 500 (or
+    // never), and the next attempt finds no VM.
     it.each([
       ['run', answer(500)],
       ['unknown', SILENT],
     ] as const)(
-      'answers %s where an earlier attempt did, whatever the last one did',
+      'reports the outcome %s of an earlier attempt, whatever the last one did',
       async (outcome, first) => {
         const played = await play({
           idempotent: true,
@@ -133,9 +134,9 @@
       },
     );
 
-    // Story: three VMs refuse a job, and the home gives it up as one that fails everywhere. The
-    // caller was told that it ran, though no target had started it.
-    it('does not call a job run that no target has started', async () => {
+    // Guards against "run" for a job that no target started: three VMs refuse it, and the home
+    // rejects it as a job that fails on every VM.
+    it('does not report a job as run if no target has started it', async () => {
       const played = await play({
         idempotent: true,
         results: [REFUSED, REFUSED, REFUSED],
@@ -144,8 +145,8 @@
       expect(played.result).toMatchObject({ outcome: 'not-run', error: { kind: 'target-failed' } });
     });
 
-    // Story: the process is paused after its home has granted a slot. When it goes on, the slot
-    // belongs to another request.
+    // Guards against the use of a slot that belongs to another request: the process is paused
+    // after the home grants the slot, and resumes after the grant has ended.
     it('sends nothing on a grant that has ended', async () => {
       const played = await play({ idempotent: true, results: [], heldAtHomeMs: 10_000 });
       expect(played.tasks).toEqual([]);
--- a/tests/entry/NotRunCheck.test.ts
+++ b/tests/entry/NotRunCheck.test.ts
@@ -34,10 +34,10 @@
 
 describe('NotRunCheck', () => {
   describe('correct', () => {
-    // Story: a save has run, its answer was lost, and the caller repeats it where it is refused:
-    // after its deadline, at an instance that stops, at one that has just woken from a pause.
+    // Guards against "not run" for a save that ran: its answer was lost, and the repeat is refused
+    // because its deadline has passed or its instance is stopping or has just resumed.
     it.each(['deadline-past', 'shutting-down', 'log-unavailable', 'home-unavailable'] as const)(
-      'finds the earlier attempt that ran behind %s',
+      'finds the earlier attempt that ran if a repeat is refused as %s',
       async (kind) => {
         const claim = { entry: 'b', outcome: 'run' } as const;
         expect(await correct({ kind, claim, isLogReadable: true })).toBe('run');
@@ -49,7 +49,7 @@
       expect(await correct({ kind: 'deadline-past', claim, isLogReadable: true })).toBe('unknown');
     });
 
-    it('lets "not run" stand for what nobody has claimed or what is settled so', async () => {
+    it('keeps "not run" for a request without a claim, or with a claim settled as not run', async () => {
       expect(await correct({ kind: 'deadline-past', isLogReadable: true })).toBe('not-run');
       const claim = { entry: 'b', outcome: 'not-run' } as const;
       expect(await correct({ kind: 'deadline-past', claim, isLogReadable: true })).toBe('not-run');
--- a/tests/entry/makeJob.ts
+++ b/tests/entry/makeJob.ts
@@ -1,6 +1,6 @@
 import type { Job } from '../../src/entry/Job.js';
 
-/** A job as its entry keeps it; a test changes what it is about. */
+/** Creates an idempotent job; `changes` replaces the fields that a test depends on. */
 export function makeJob(changes: Partial<Job> = {}): Job {
   return {
     requestId: 'r1',
