--- a/src/log/applyEntry.ts
+++ b/src/log/applyEntry.ts
@@ -33,9 +33,9 @@
  *
  * An append whose answer was lost is repeated with the same record id, and the record stands on
  * the log twice. The verdict on the first one is remembered, so the second changes nothing.
- * @param tables - The state.
+ * @param tables - Tables of the replicated state.
  * @param record - The record.
- * @param offset - Its offset.
+ * @param offset - Offset of the record.
  * @returns The verdict.
  */
 function applyRecord(tables: FleetTables, record: LogRecord, offset: number): ApplyVerdict {
@@ -49,7 +49,7 @@
 
 /**
  * Rejects an entry that this program cannot read; a broken publication shows in the history.
- * @param tables - The state.
+ * @param tables - Tables of the replicated state.
  * @param entry - The entry.
  * @param reason - Why it cannot be read.
  * @returns The verdict.
@@ -69,9 +69,9 @@
  *
  * While instances are upgraded one by one, the new ones act on records that the old ones cannot
  * read; an old one that went on would decide on a state that the others no longer share.
- * @param tables - The state.
+ * @param tables - Tables of the replicated state.
  * @param decoded - The record's version and teams.
- * @param offset - Its offset.
+ * @param offset - Offset of the record.
  */
 function freeze(
   tables: FleetTables,
@@ -87,7 +87,7 @@
 
 /**
  * Applies an entry and tells which record it holds.
- * @param tables - The state.
+ * @param tables - Tables of the replicated state.
  * @param entry - The entry at the state's next offset, or an earlier one.
  * @returns The verdict and the record.
  * @throws RattanliftError Of kind `internal` when entries before this one are missing.
--- a/src/log/findFreeze.ts
+++ b/src/log/findFreeze.ts
@@ -6,7 +6,7 @@
 
 /**
  * Lists the subtrees that a record decides on.
- * @param body - The record.
+ * @param body - Body of the record.
  * @returns Teams, or everything; empty for a record that decides nothing, but gives something up
  * or reports what has happened, which is true whatever else stands on the log.
  */
@@ -43,8 +43,8 @@
 
 /**
  * Finds out whether a record decides on a subtree that this program cannot read in full.
- * @param tables - The state.
- * @param body - The record.
+ * @param tables - Tables of the replicated state.
+ * @param body - Body of the record.
  * @returns Why it must not be written, or undefined where it may.
  */
 export function findFreeze(tables: FleetTables, body: RecordBody): string | undefined {
--- a/src/log/fold/applyBody.ts
+++ b/src/log/fold/applyBody.ts
@@ -21,10 +21,10 @@
 } from './waves.js';
 
 /**
- * Applies what a record says, where it still applies.
- * @param tables - The state.
- * @param body - The record.
- * @param offset - Its offset.
+ * Applies a record body to the tables with the handler for its type, which may reject it.
+ * @param tables - Tables of the replicated state.
+ * @param body - Body of the record.
+ * @param offset - Offset of the record.
  * @returns The verdict.
  */
 export function applyBody(tables: FleetTables, body: RecordBody, offset: number): RecordVerdict {
--- a/src/log/fold/assignments.ts
+++ b/src/log/fold/assignments.ts
@@ -7,11 +7,12 @@
 /**
  * Applies the adoption of a VM by a pool.
  *
- * Two pools may reach for one free VM at once: both name the version that they saw, the first
- * on the log changes it, and the second is rejected, so a VM is in one pool at most.
- * @param tables - The state.
- * @param body - The record.
- * @param offset - Its offset.
+ * Two pools may try to adopt the same free VM concurrently. Both records carry the assignment
+ * version that their writer read. The first record on the log changes the version and the second
+ * is rejected, so a VM belongs to at most one pool.
+ * @param tables - Tables of the replicated state.
+ * @param body - Body of the record.
+ * @param offset - Offset of the record.
  * @returns The verdict.
  */
 export function applyVmAdopted(
@@ -35,9 +36,9 @@
 
 /**
  * Applies the release of a VM by its pool.
- * @param tables - The state.
- * @param body - The record.
- * @param offset - Its offset.
+ * @param tables - Tables of the replicated state.
+ * @param body - Body of the record.
+ * @param offset - Offset of the record.
  * @returns The verdict.
  */
 export function applyVmReleased(
--- a/src/log/fold/claims.ts
+++ b/src/log/fold/claims.ts
@@ -10,13 +10,13 @@
 const FORGET_STEP_MS = 60_000;
 
 /**
- * Reads the time by which claims may be forgotten.
+ * Returns the wall-clock time that decides which claims have expired.
  *
- * A wall clock that is far ahead would make every instance forget claims that callers may still
- * repeat, and a repeat would run twice. The second latest clock counts where there are several
- * writers, so one clock that is wrong does no harm.
- * @param tables - The state.
- * @returns Milliseconds since the Unix epoch; 0 where no clock is known.
+ * A wall clock that is far ahead would make every instance delete claims of requests that callers
+ * may still repeat, and a repeated request would run twice. With several writers, the second
+ * latest clock is used, so a single wrong clock does no harm.
+ * @param tables - Tables of the replicated state.
+ * @returns Milliseconds since the Unix epoch; 0 if no clock is known.
  */
 function readTrustedWallMs(tables: FleetTables): number {
   const latestFirst = tables.writerClocks
@@ -27,8 +27,9 @@
 }
 
 /**
- * Forgets the claims that no caller can repeat any more, at most once for each step of time.
- * @param tables - The state.
+ * Deletes the claims of requests that no caller can repeat any more. Runs at most once per
+ * interval of trusted time.
+ * @param tables - Tables of the replicated state.
  */
 function forgetExpiredClaims(tables: FleetTables): void {
   const dueMs = readTrustedWallMs(tables) - FORGET_MARGIN_MS;
@@ -42,10 +43,10 @@
 }
 
 /**
- * Notes the wall clock of a writer.
- * @param tables - The state.
+ * Records the wall-clock time of a writer; the recorded time never decreases.
+ * @param tables - Tables of the replicated state.
  * @param instance - The writer.
- * @param wallMs - What it wrote; undefined where it wrote none.
+ * @param wallMs - Wall-clock time in the record; undefined if the record has none.
  */
 function noteClock(tables: FleetTables, instance: string, wallMs: number | undefined): void {
   if (wallMs === undefined) return;
@@ -54,12 +55,13 @@
 }
 
 /**
- * Keeps one claim unless its request is claimed already; one that certainly did not run is free.
- * @param tables - The state.
+ * Stores a claim unless the request is already claimed. A request whose outcome is `not-run` can
+ * be claimed again.
+ * @param tables - Tables of the replicated state.
  * @param pool - Pool as `team/pool`.
  * @param claim - The claim.
- * @param offset - Offset of its record.
- * @returns Whether the claim stands.
+ * @param offset - Offset of the record that holds the claim.
+ * @returns Whether the claim was stored.
  */
 function tryClaim(tables: FleetTables, pool: string, claim: RequestClaim, offset: number): boolean {
   const former = tables.claims.get(claim.requestId);
@@ -73,12 +75,13 @@
  * Applies claims of non-idempotent requests.
  *
  * A home that was paused past its lease may append claims for requests that its successor has
- * claimed and sent in the meantime, and each would run twice. Its term is no longer the current
- * one, so none of its claims counts, and it may not send what it did not read back as accepted.
- * @param tables - The state.
- * @param body - The record.
- * @param offset - Its offset.
- * @returns The verdict, with the claims that were refused because their request is claimed.
+ * claimed and sent in the meantime; each of them would run twice. The term of the paused home is
+ * outdated, so the record is rejected. A home may send a request only after it has read the claim
+ * back as accepted.
+ * @param tables - Tables of the replicated state.
+ * @param body - Body of the record.
+ * @param offset - Offset of the record.
+ * @returns The verdict, with the ids of the requests that were already claimed.
  */
 export function applyRequestsClaimed(
   tables: FleetTables,
@@ -96,10 +99,10 @@
 }
 
 /**
- * Decides which outcome of a request stands.
- * @param former - Outcome on record.
- * @param outcome - Outcome that is reported now.
- * @returns What is known for certain before what is not; of two certain ones, that it ran.
+ * Merges the recorded outcome of a request with a newly reported one.
+ * @param former - Recorded outcome.
+ * @param outcome - Reported outcome.
+ * @returns The outcome to record: a known outcome replaces `unknown`, and `run` replaces `not-run`.
  */
 function mergeOutcomes(former: Outcome | undefined, outcome: Outcome): Outcome {
   if (former === undefined || former === 'unknown') return outcome;
@@ -107,15 +110,15 @@
 }
 
 /**
- * Tells whether an outcome is of an earlier claim than the one that stands.
+ * Checks whether a settlement belongs to an earlier claim than the current one.
  *
- * A home settles a claim as not run, gets no answer and settles it again; the request is claimed
- * anew and runs; then the first settlement reaches the log after all. It would show the running
- * request as not run and free its id for a third attempt. So an outcome that frees the id has to
- * name the claim it is of, except where the request was only ever claimed once.
- * @param claim - The claim that stands.
- * @param settlement - The outcome.
- * @returns Whether it must be passed over.
+ * A home settles a claim as `not-run`, gets no answer and settles it again. The request is claimed
+ * again and runs; then the first settlement reaches the log. It would mark the running request as
+ * `not-run` and allow a third attempt. Therefore a `not-run` settlement must carry the offset of
+ * its claim, unless the request has been claimed only once.
+ * @param claim - The current claim.
+ * @param settlement - The settlement.
+ * @returns Whether the settlement must be ignored.
  */
 function isOfEarlierClaim(claim: ClaimRow, settlement: RequestSettlement): boolean {
   if (settlement.outcome !== 'not-run') return false;
@@ -124,9 +127,10 @@
 }
 
 /**
- * Applies the outcomes of claimed requests; those without a claim of the pool are passed over.
- * @param tables - The state.
- * @param body - The record.
+ * Applies the outcomes of claimed requests; ignores outcomes of requests that the pool has not
+ * claimed.
+ * @param tables - Tables of the replicated state.
+ * @param body - Body of the record.
  * @returns The verdict.
  */
 export function applyRequestsSettled(
--- a/src/log/fold/drains.ts
+++ b/src/log/fold/drains.ts
@@ -4,8 +4,8 @@
 
 /**
  * Applies an operator's order to drain a VM.
- * @param tables - The state.
- * @param body - The record.
+ * @param tables - Tables of the replicated state.
+ * @param body - Body of the record.
  * @returns The verdict.
  */
 export function applyVmDrainOrdered(
@@ -18,9 +18,9 @@
 }
 
 /**
- * Applies the end of an operator's order to drain a VM.
- * @param tables - The state.
- * @param body - The record.
+ * Applies the cancellation of an operator's order to drain a VM.
+ * @param tables - Tables of the replicated state.
+ * @param body - Body of the record.
  * @returns The verdict.
  */
 export function applyVmDrainCancelled(
--- a/src/log/fold/homes.ts
+++ b/src/log/fold/homes.ts
@@ -2,7 +2,7 @@
 import type { FleetTables, RecordVerdict } from '../../tables/index.js';
 import { ACCEPTED, reject } from './verdicts.js';
 
-/** Who claims to act for which pool. */
+/** Pool, instance and term in which a writer acts as the pool's home. */
 export interface ActingHome {
   readonly pool: string;
   readonly instance: string;
@@ -10,10 +10,10 @@
 }
 
 /**
- * Tells whether a pool is in the settings in force.
- * @param tables - The state.
+ * Checks whether the team settings in force define a pool.
+ * @param tables - Tables of the replicated state.
  * @param pool - Pool as `team/pool`.
- * @returns Whether it is.
+ * @returns Whether they define it.
  */
 export function isPoolInForce(tables: FleetTables, pool: string): boolean {
   const slash = pool.indexOf('/');
@@ -22,14 +22,14 @@
 }
 
 /**
- * Checks that a writer is the home of the pool that it decides for.
+ * Checks that the writer of a record is the current home of the pool.
  *
- * An instance that was paused past its lease still believes that it holds the pool and appends
- * what it had decided before. Its successor's claim has raised the term by then, and both stand
- * on one log, so the late record is rejected by every instance alike.
- * @param tables - The state.
- * @param acting - Pool, instance and term that the record names.
- * @returns Why the writer may not decide, or undefined where it may.
+ * An instance that was paused past its lease still acts as the home and appends records that it
+ * decided before the pause. By then the claim of its successor has increased the term. Both
+ * records are on the same log, so every instance rejects the late one.
+ * @param tables - Tables of the replicated state.
+ * @param acting - Pool, instance and term in the record.
+ * @returns Why the writer is not the home, or undefined if it is.
  */
 export function findHomeFault(tables: FleetTables, acting: ActingHome): string | undefined {
   const home = tables.homes.get(acting.pool);
@@ -40,11 +40,12 @@
 }
 
 /**
- * Removes the home of a pool that is in no settings, has no VM and no holder; its term is kept.
+ * Removes the home of a pool that no settings define and that has neither VMs nor a holder. The
+ * term is kept.
  *
- * If the pool is published again later, terms go on from there: a term given twice would let a
- * holder that was frozen all the while pass for the new one.
- * @param tables - The state.
+ * If the pool is published again, its terms continue from the kept one. If a term were reused, an
+ * earlier holder whose process was frozen in the meantime would be accepted as the new holder.
+ * @param tables - Tables of the replicated state.
  * @param pool - Pool as `team/pool`.
  */
 export function retireAbandonedHome(tables: FleetTables, pool: string): void {
@@ -57,8 +58,8 @@
 }
 
 /**
- * Frees every home of an instance that has ended; the terms stay.
- * @param tables - The state.
+ * Frees all homes of an instance that has left or lapsed; their terms are kept.
+ * @param tables - Tables of the replicated state.
  * @param instance - The instance.
  */
 export function freeHomes(tables: FleetTables, instance: string): void {
@@ -72,9 +73,9 @@
 }
 
 /**
- * Applies a claim of a pool's home.
- * @param tables - The state.
- * @param body - The record.
+ * Applies an instance's claim to become the home of a pool.
+ * @param tables - Tables of the replicated state.
+ * @param body - Body of the record.
  * @returns The verdict.
  */
 export function applyHomeClaimed(
@@ -98,9 +99,9 @@
 }
 
 /**
- * Applies the release of a pool's home.
- * @param tables - The state.
- * @param body - The record.
+ * Applies the release of a pool by its home.
+ * @param tables - Tables of the replicated state.
+ * @param body - Body of the record.
  * @returns The verdict.
  */
 export function applyHomeReleased(
--- a/src/log/fold/isTooDeep.ts
+++ b/src/log/fold/isTooDeep.ts
@@ -5,13 +5,13 @@
 const CLOSING = '}]';
 
 /**
- * Tells whether a document nests deeper than any settings do.
+ * Checks whether a document is nested more deeply than settings can be.
  *
- * A parser that recurses runs out of stack on a document of many thousand brackets, at a depth
- * that differs from process to process: some instances would reject the publication and others
- * fail. This check does not recurse, so all of them reject it alike.
+ * A recursive parser overflows the stack on a document with many thousand brackets, at a depth
+ * that differs between processes: some instances would reject the publication and others would
+ * fail. This check does not recurse, so all instances reject the document.
  * @param document - JSON with comments.
- * @returns Whether it is too deep to be parsed.
+ * @returns Whether the document exceeds the maximum nesting depth.
  */
 export function isTooDeep(document: string): boolean {
   const scanner = createScanner(document, true);
--- a/src/log/fold/membership.ts
+++ b/src/log/fold/membership.ts
@@ -6,10 +6,11 @@
 const MAX_ENDED_INSTANCE_COUNT = 200;
 
 /**
- * Ends an instance and forgets the oldest ended ones beyond a count.
- * @param tables - The state.
+ * Marks an instance as ended, frees its homes and deletes the oldest ended instance beyond the
+ * maximum number kept.
+ * @param tables - Tables of the replicated state.
  * @param row - The instance.
- * @param state - How it ended.
+ * @param state - Whether it left or lapsed.
  */
 function endInstance(tables: FleetTables, row: InstanceRow, state: 'left' | 'lapsed'): void {
   tables.instances.put({ ...row, state });
@@ -20,13 +21,13 @@
 }
 
 /**
- * Applies the join of an instance; one that was paused past its lease joins again.
+ * Applies the join of an instance. An instance that was paused past its lease joins again.
  *
- * Another instance with the same address stays joined: its process may be frozen, not gone, and
- * still act on its leases, so only its own lapse may free them.
- * @param tables - The state.
- * @param body - The record.
- * @param offset - Its offset.
+ * Another instance with the same address stays joined: its process may be frozen and may still act
+ * on its leases after it resumes, so only its own lapse frees them.
+ * @param tables - Tables of the replicated state.
+ * @param body - Body of the record.
+ * @param offset - Offset of the record.
  * @returns The verdict.
  */
 export function applyInstanceJoined(
@@ -46,9 +47,9 @@
 
 /**
  * Applies the renewal of an instance's lease.
- * @param tables - The state.
- * @param body - The record.
- * @param offset - Its offset.
+ * @param tables - Tables of the replicated state.
+ * @param body - Body of the record.
+ * @param offset - Offset of the record.
  * @returns The verdict.
  */
 export function applyInstanceRenewed(
@@ -64,8 +65,8 @@
 
 /**
  * Applies the orderly leave of an instance.
- * @param tables - The state.
- * @param body - The record.
+ * @param tables - Tables of the replicated state.
+ * @param body - Body of the record.
  * @returns The verdict.
  */
 export function applyInstanceLeft(
@@ -79,13 +80,13 @@
 }
 
 /**
- * Applies the end of an instance that another one saw no renewal of.
+ * Applies the lapse of an instance, which another instance declares when it sees no renewal.
  *
- * The lapse races the renewal: an instance that was only slow appends its renewal while its
- * observer appends the lapse. The observed offset travels in the record, so whichever comes
- * first on the log wins in every instance alike, without a clock in the fold.
- * @param tables - The state.
- * @param body - The record.
+ * The lapse races with the renewal: a slow instance may append its renewal while its observer
+ * appends the lapse. The record carries the observed offset, so the first of the two on the log
+ * wins in every instance, and the fold needs no clock.
+ * @param tables - Tables of the replicated state.
+ * @param body - Body of the record.
  * @returns The verdict.
  */
 export function applyInstanceLapsed(
--- a/src/log/fold/settings.ts
+++ b/src/log/fold/settings.ts
@@ -29,8 +29,8 @@
 }
 
 /**
- * Keeps a publication for the history that operators see.
- * @param tables - The state.
+ * Adds a publication to the history that operators see; removes the oldest one beyond the limit.
+ * @param tables - Tables of the replicated state.
  * @param row - The publication with its verdict.
  */
 export function recordPublication(tables: FleetTables, row: PublicationRow): void {
@@ -39,8 +39,8 @@
 }
 
 /**
- * Puts settings in force and gives each new pool a home that nobody holds yet.
- * @param tables - The state.
+ * Puts settings in force, creates an unheld home for each new pool and retires abandoned homes.
+ * @param tables - Tables of the replicated state.
  * @param row - The settings.
  */
 function putInForce(tables: FleetTables, row: SettingsRow): void {
@@ -58,9 +58,9 @@
 }
 
 /**
- * Describes what is wrong with a document, as far as a person reads it in the history.
+ * Summarizes the errors of a document for the publication history.
  * @param problems - Errors and warnings.
- * @returns The first errors, each with its place.
+ * @returns The first errors with their positions, and the number of the others.
  */
 function describeProblems(problems: readonly SettingsProblem[]): string {
   const errors = problems.filter((problem) => problem.severity === 'error');
@@ -70,10 +70,10 @@
 }
 
 /**
- * Decides on a publication and puts it in force where it applies.
- * @param tables - The state.
- * @param body - The record.
- * @param offset - Its offset.
+ * Validates a publication and puts it in force if it is valid.
+ * @param tables - Tables of the replicated state.
+ * @param body - Body of the record.
+ * @param offset - Offset of the record.
  * @returns The verdict.
  */
 function decide(
@@ -83,8 +83,9 @@
 ): RecordVerdict {
   const former = tables.settings.get(body.team);
   const version = former?.version ?? 0;
-  // Two operators publish at once: whoever comes second on the log saw a version that is no
-  // longer in force. The version travels in the record, so the second one cannot undo the first.
+  // If two operators publish concurrently, the second publication on the log is based on a version
+  // that is no longer in force. The record carries its base version, so the second publication
+  // cannot undo the first.
   if (body.baseVersion !== version) {
     const inForce =
       former === undefined
@@ -105,9 +106,9 @@
 
 /**
  * Applies a publication of a team's settings.
- * @param tables - The state.
- * @param body - The record.
- * @param offset - Its offset.
+ * @param tables - Tables of the replicated state.
+ * @param body - Body of the record.
+ * @param offset - Offset of the record.
  * @returns The verdict.
  */
 export function applySettingsPublished(
--- a/src/log/fold/verdicts.ts
+++ b/src/log/fold/verdicts.ts
@@ -4,8 +4,8 @@
 export const ACCEPTED: RecordVerdict = { type: 'accepted' };
 
 /**
- * Makes the verdict on a record that does not apply.
- * @param reason - Why, in a sentence for the writer and the operator.
+ * Creates the verdict on a rejected record.
+ * @param reason - Why it is rejected, as a sentence for the writer and the operator.
  * @returns The verdict.
  */
 export function reject(reason: string): RecordVerdict {
--- a/src/log/fold/waveProgress.ts
+++ b/src/log/fold/waveProgress.ts
@@ -3,17 +3,17 @@
 const MAX_FINISHED_WAVE_COUNT = 50;
 
 /**
- * Tells whether a wave has nothing left to do.
+ * Checks whether a wave is finished.
  * @param wave - The wave.
- * @returns Whether every VM of its pools was done at some moment.
+ * @returns Whether there was a time at which every VM of its pools was done.
  */
 export function isWaveFinished(wave: WaveRow): boolean {
   return wave.finishedOffset !== undefined;
 }
 
 /**
- * Tells whether every VM of a wave's pools has a step in a final state.
- * @param tables - The state.
+ * Checks whether every VM in the pools of a wave has a step in a final state.
+ * @param tables - Tables of the replicated state.
  * @param wave - The wave.
  * @returns Whether no VM is left to maintain.
  */
@@ -28,8 +28,8 @@
 }
 
 /**
- * Removes the wave that finished first, with its steps, beyond a count of finished ones.
- * @param tables - The state.
+ * Removes the wave that finished first and its steps if too many finished waves are kept.
+ * @param tables - Tables of the replicated state.
  */
 function forgetOldWaves(tables: FleetTables): void {
   const finished = tables.waves.list().filter(isWaveFinished);
@@ -45,8 +45,9 @@
 }
 
 /**
- * Marks a wave as finished when its last VM is done; it stays so when VMs join its pools later.
- * @param tables - The state.
+ * Marks a wave as finished when all its VMs are done. The wave stays finished when VMs join its
+ * pools later.
+ * @param tables - Tables of the replicated state.
  * @param wave - The wave.
  * @param offset - Offset of the record that may have finished it.
  */
@@ -57,8 +58,8 @@
 }
 
 /**
- * Marks the waves over a pool as finished where the pool's last VM is done.
- * @param tables - The state.
+ * Marks each wave that includes a pool as finished if all VMs of the wave are done.
+ * @param tables - Tables of the replicated state.
  * @param pool - Pool as `team/pool`.
  * @param offset - Offset of the record that may have finished them.
  */
--- a/src/log/fold/waves.ts
+++ b/src/log/fold/waves.ts
@@ -6,9 +6,9 @@
 
 /**
  * Applies the start of a wave.
- * @param tables - The state.
- * @param body - The record.
- * @param offset - Its offset.
+ * @param tables - Tables of the replicated state.
+ * @param body - Body of the record.
+ * @param offset - Offset of the record.
  * @returns The verdict.
  */
 export function applyWaveStarted(
@@ -37,8 +37,8 @@
 
 /**
  * Applies the pause of a wave.
- * @param tables - The state.
- * @param body - The record.
+ * @param tables - Tables of the replicated state.
+ * @param body - Body of the record.
  * @returns The verdict.
  */
 export function applyWavePaused(
@@ -55,8 +55,8 @@
 
 /**
  * Applies the resumption of a paused wave.
- * @param tables - The state.
- * @param body - The record.
+ * @param tables - Tables of the replicated state.
+ * @param body - Body of the record.
  * @returns The verdict.
  */
 export function applyWaveResumed(
@@ -72,10 +72,10 @@
 }
 
 /**
- * Finds why a step may not begin, leaving aside who asks.
- * @param tables - The state.
- * @param body - The record.
- * @returns The reason, or undefined where it may.
+ * Finds the reason why a step may not begin; does not check the writer of the record.
+ * @param tables - Tables of the replicated state.
+ * @param body - Body of the record.
+ * @returns The reason, or undefined if the step may begin.
  */
 function findStepFault(
   tables: FleetTables,
@@ -93,10 +93,10 @@
 }
 
 /**
- * Tells whether a step of a VM stands in the way of another one in the same wave.
- * @param step - The step on record.
- * @param body - The step that is asked for.
- * @returns Whether the step on record is done or belongs to the same term.
+ * Checks whether the recorded step of a VM prevents a new step in the same wave.
+ * @param step - The recorded step.
+ * @param body - The requested step.
+ * @returns Whether the recorded step is done, or the same pool recorded it in this or a later term.
  */
 function isInTheWay(step: WaveStepRow, body: RecordBodyOf<'step-intended'>): boolean {
   if (step.state !== 'intended') return true;
@@ -104,13 +104,13 @@
 }
 
 /**
- * Applies the intention to maintain a VM.
+ * Applies a home's intention to maintain a VM.
  *
- * A home that dies after its intention leaves open whether the VM was rebooted. Its successor
- * repeats the step, and the boot on record stays the one from before the first attempt: if the
- * VM shows a later one, the reboot took place and is not done twice.
- * @param tables - The state.
- * @param body - The record.
+ * If a home dies after it has recorded the intention, it is unknown whether the VM was rebooted.
+ * Its successor repeats the step and keeps the boot id from before the first attempt. If the VM
+ * reports a later boot, the reboot took place and is not repeated.
+ * @param tables - Tables of the replicated state.
+ * @param body - Body of the record.
  * @returns The verdict.
  */
 export function applyStepIntended(
@@ -131,9 +131,9 @@
 
 /**
  * Applies the end of a VM's step.
- * @param tables - The state.
- * @param body - The record.
- * @param offset - Its offset.
+ * @param tables - Tables of the replicated state.
+ * @param body - Body of the record.
+ * @param offset - Offset of the record.
  * @returns The verdict.
  */
 export function applyStepFinished(
--- a/src/log/nameClaims.ts
+++ b/src/log/nameClaims.ts
@@ -7,7 +7,7 @@
  * The record may reach the log late, when the request has been claimed anew; with the name the
  * fold tells that the settlement is of the earlier claim.
  * @param tables - The state that the writer acts on.
- * @param body - The record.
+ * @param body - Body of the record.
  * @returns The record, with the claims named where it settles some.
  */
 export function nameClaims(tables: FleetTables, body: RecordBody): RecordBody {
--- a/src/log/snapshot/SerializedTables.ts
+++ b/src/log/snapshot/SerializedTables.ts
@@ -1,10 +1,10 @@
 import { z } from 'zod';
 import type { FleetTables } from '../../tables/index.js';
 
-/** Format version of the states that this program writes. */
+/** Format version of the serialized states that this program writes. */
 export const STATE_FORMAT_VERSION = 1;
 
-/** Tables of the state, all of which a snapshot holds. */
+/** Names of the tables of the state; a snapshot contains all of them. */
 export const TABLE_NAMES = [
   'settings',
   'publications',
@@ -26,7 +26,7 @@
 
 const rowsSchema = z.array(z.looseObject({})).readonly();
 
-/** Schema of the header of a state. */
+/** Schema of the header of a serialized state. */
 export const stateHeaderSchema = z
   .object({
     formatVersion: z.literal(STATE_FORMAT_VERSION),
@@ -35,7 +35,7 @@
   })
   .readonly();
 
-/** Schema of a state as it travels. */
+/** Schema of a serialized state, as snapshots and peers transfer it. */
 export const serializedTablesSchema = z
   .object({
     header: stateHeaderSchema,
@@ -43,10 +43,10 @@
   })
   .readonly();
 
-/** Header of a state. */
+/** Header of a serialized state. */
 export type StateHeader = z.output<typeof stateHeaderSchema>;
 
-/** The fold's state as JSON values. */
+/** The replicated state as JSON values. */
 export interface SerializedTables {
   readonly header: StateHeader;
   /** Rows of each table in the order of their first insertion. */
--- a/src/log/snapshot/SnapshotRecord.ts
+++ b/src/log/snapshot/SnapshotRecord.ts
@@ -1,9 +1,9 @@
 import { z } from 'zod';
 
-/** Stream that snapshots are written to. */
+/** Name of the log stream that holds the snapshots. */
 export const SNAPSHOT_STREAM = 'snapshots';
 
-/** Schema of a piece of a snapshot's text. */
+/** Schema of a record that holds a part of a snapshot's text. */
 export const snapshotPartSchema = z
   .object({
     type: z.literal('snapshot-part'),
@@ -13,12 +13,12 @@
   })
   .readonly();
 
-/** Schema of the record that closes a snapshot; without it the parts count as nothing. */
+/** Schema of the record that completes a snapshot; parts without it are ignored. */
 export const snapshotEndSchema = z
   .object({
     type: z.literal('snapshot-end'),
     snapshotId: z.string(),
-    /** Offset from which on its parts stand on the stream. */
+    /** Offset of the first part on the stream. */
     firstPartOffset: z.int().nonnegative(),
     partCount: z.int().positive(),
     sha256: z.string(),
@@ -29,7 +29,7 @@
   })
   .readonly();
 
-/** A piece of a snapshot's text. */
+/** A record that holds a part of a snapshot's text. */
 export type SnapshotPart = z.output<typeof snapshotPartSchema>;
-/** The record that closes a snapshot. */
+/** The record that completes a snapshot. */
 export type SnapshotEnd = z.output<typeof snapshotEndSchema>;
--- a/src/log/snapshot/SnapshotWriter.ts
+++ b/src/log/snapshot/SnapshotWriter.ts
@@ -24,20 +24,26 @@
   readonly clock: Clock;
   readonly events: EventLog;
   /**
-   * Makes the id of a snapshot.
-   * @returns An id that nobody has used before.
+   * Creates the id of a snapshot.
+   * @returns An id that has not been used before.
    */
   readonly makeSnapshotId: () => string;
-  /** Records after which the next snapshot is due. */
+  /** Number of records after the latest snapshot at which the next one is due. */
   readonly recordCount: number;
-  /** Age of the latest snapshot at which the next one is due; far less than the retention. */
+  /**
+   * Age of the latest snapshot at which the next one is due, in milliseconds; far less than the
+   * retention of the log.
+   */
   readonly longestAgeMs: number;
-  /** Pause between appends, which leaves the log's rate to the claims of requests. */
+  /**
+   * Pause between appends, in milliseconds; it leaves the append rate of the log to the claims of
+   * requests.
+   */
   readonly appendGapMs?: number;
   readonly backoff?: BackoffOptions;
 }
 
-/** Writes snapshots of the state before the log forgets what led to it. */
+/** Writes snapshots of the state before the retention of the log removes the records behind it. */
 export class SnapshotWriter {
   private readonly options: SnapshotWriterOptions;
 
@@ -47,18 +53,19 @@
 
   /**
    * Creates a writer.
-   * @param options - State to write, destination and when it is due.
+   * @param options - State to write, destination and schedule.
    */
   constructor(options: SnapshotWriterOptions) {
     this.options = options;
   }
 
   /**
-   * Writes a snapshot if one is due; called regularly by the instance whose task it is.
+   * Writes a snapshot if one is due. The instance that is responsible for snapshots calls this
+   * regularly.
    *
-   * Two instances may write at once while the task changes hands: each snapshot has its own id,
-   * so they do not mix.
-   * @returns Whether a whole snapshot was written.
+   * Two instances may write at the same time while the responsibility moves from one to the
+   * other. Each snapshot has its own id, so their parts do not mix.
+   * @returns Whether a complete snapshot was written.
    */
   async writeIfDue(): Promise<boolean> {
     if (this.isWriting) return false;
@@ -68,7 +75,7 @@
       await this.write();
       return true;
     } catch (thrown) {
-      // Half a snapshot counts as none; the next call begins a new one.
+      // An incomplete snapshot is ignored by readers; the next call begins a new one.
       const { message } = toRattanliftError(thrown, 'log-unavailable');
       this.options.events.write('logUnreachable', { stream: SNAPSHOT_STREAM, message });
       return false;
@@ -79,10 +86,10 @@
 
   private async isDue(): Promise<boolean> {
     const { log, tables } = this.options;
-    // A state that lacks records which this program cannot read must not become the fleet's.
+    // The state lacks records that this program cannot read, so other instances must not load it.
     if (tables.frozen.size > 0 || tables.nextOffset === 0) return false;
     if (this.latest !== undefined && !this.isStale(this.latest)) return false;
-    // Another instance may have written one since.
+    // Another instance may have written a snapshot since.
     this.latest = await findLatestSnapshotEnd(log);
     return this.latest === undefined || this.isStale(this.latest);
   }
@@ -121,7 +128,7 @@
     events.write('snapshotWritten', { snapshotId, nextOffset, partCount: parts.length });
   }
 
-  /** Appends the parts in order, a few a call, and returns the offset of the first one. */
+  /** Appends the parts in order, a few per call, and returns the offset of the first part. */
   private async appendParts(parts: readonly SnapshotPart[]): Promise<number> {
     const firstPartOffset = await this.append(parts.slice(0, PARTS_PER_APPEND));
     const callCount = Math.ceil(parts.length / PARTS_PER_APPEND);
@@ -137,7 +144,7 @@
     return firstPartOffset;
   }
 
-  /** Appends records; parts that stand on the stream twice do no harm. */
+  /** Appends records with retries; duplicate parts on the stream do no harm. */
   private async append(records: readonly unknown[]): Promise<number> {
     const { log } = this.options;
     const backoff = new Backoff(this.options.backoff ?? DEFAULT_BACKOFF);
--- a/src/log/snapshot/loadLatestSnapshot.ts
+++ b/src/log/snapshot/loadLatestSnapshot.ts
@@ -9,16 +9,16 @@
 } from './SnapshotRecord.js';
 import { hashParts, readSnapshotText } from './snapshotText.js';
 
-/** A closing record with its place on the stream. */
+/** An end record of a snapshot and its offset on the stream. */
 interface PlacedEnd {
   readonly end: SnapshotEnd;
   readonly offset: number;
 }
 
 /**
- * Reads the closing record that an entry holds.
+ * Reads the snapshot end record from an entry.
  * @param entry - The entry.
- * @returns The closing record, or nothing.
+ * @returns A list with the end record; empty if the entry holds another record.
  */
 function readEnd(entry: LogEntry): readonly PlacedEnd[] {
   const parsed = snapshotEndSchema.safeParse(entry.payload);
@@ -26,11 +26,11 @@
 }
 
 /**
- * Looks for closing records from the end of the stream backwards, until one is of use.
+ * Searches backwards from the end of the stream for a snapshot end record that can be used.
  * @param log - The log.
  * @param range - Offsets to search.
- * @param tryEnd - Makes use of a closing record, or returns undefined to search on.
- * @returns What the first closing record of use gave, or undefined where there is none.
+ * @param tryEnd - Maps an end record to a result, or returns undefined to continue the search.
+ * @returns The first result, or undefined if there is none.
  */
 async function searchEnds<Result>(
   log: LogPort,
@@ -53,13 +53,13 @@
 }
 
 /**
- * Reads the snapshot that a closing record ends.
+ * Loads the snapshot that an end record completes.
  *
- * Its writer may have died or repeated an append on the way, and other writers may have written
- * in between: only when each part is there and the checksum holds is it a snapshot at all.
+ * The writer may have died or repeated an append, and other writers may have appended records in
+ * between. The snapshot is valid only if all parts are present and the checksum matches.
  * @param log - The log.
- * @param placed - The closing record.
- * @returns The state, or undefined where the snapshot is not whole or of a newer format.
+ * @param placed - The end record and its offset.
+ * @returns The state, or undefined if the snapshot is incomplete or has a newer format.
  */
 async function loadSnapshot(
   log: LogPort,
@@ -82,9 +82,9 @@
 }
 
 /**
- * Finds the record that closes the latest snapshot, whole or not.
+ * Finds the end record of the latest snapshot, without checking that its parts are complete.
  * @param log - The log.
- * @returns The closing record, or undefined where there is none.
+ * @returns The end record, or undefined if there is none.
  * @throws RattanliftError Of kind `log-unavailable`.
  */
 export async function findLatestSnapshotEnd(log: LogPort): Promise<SnapshotEnd | undefined> {
@@ -93,9 +93,9 @@
 }
 
 /**
- * Loads the latest whole snapshot that this program can read.
+ * Loads the latest complete snapshot that this program can read.
  * @param log - The log.
- * @returns The state, or undefined where there is none.
+ * @returns The state, or undefined if there is none.
  * @throws RattanliftError Of kind `log-unavailable`.
  */
 export async function loadLatestSnapshot(log: LogPort): Promise<SerializedTables | undefined> {
--- a/src/log/snapshot/readStream.ts
+++ b/src/log/snapshot/readStream.ts
@@ -4,21 +4,22 @@
 
 const READ_LIMIT_MS = 10_000;
 
-/** Range of offsets that a stream holds. */
+/** Range of offsets on a stream; the end is exclusive. */
 export interface StreamRange {
   readonly firstOffset: number;
-  /** Offset that the next appended record will get. */
+  /** Offset after the last record of the range. */
   readonly endOffset: number;
 }
 
-/** Most records that one read of this module asks for. */
+/** Maximum number of records that this module requests in one read. */
 export const READ_COUNT = 200;
 
 /**
- * Finds out which offsets a stream still holds.
+ * Finds the range of offsets that a stream retains.
  * @param log - The log.
  * @param stream - Name of the stream.
- * @returns The range.
+ * @returns The range; its end is the offset that the next appended record gets.
+ * @throws RattanliftError Of kind `log-unavailable`.
  */
 export async function findStreamRange(log: LogPort, stream: string): Promise<StreamRange> {
   const first = { stream, fromOffset: 0, maxCount: 1, waitMs: 0 };
@@ -27,16 +28,16 @@
   const { firstOffset } = start;
   const kept = await raceTimeout(log.read({ ...first, fromOffset: firstOffset }), READ_LIMIT_MS);
   if (kept.type === 'entries') return { firstOffset, endOffset: kept.endOffset };
-  // The retention passed another record between the two reads; the caller may try again.
+  // The retention removed another record between the two reads; the caller may try again.
   return throwError('log-unavailable', `Stream ${stream} lost records while it was read.`);
 }
 
 /**
- * Reads a range of a stream that is known to stand on it.
+ * Reads a range of offsets whose records have been appended to a stream.
  * @param log - The log.
  * @param stream - Name of the stream.
  * @param range - The offsets.
- * @returns The entries, or undefined where the retention has passed some of them.
+ * @returns The entries, or undefined if the retention has removed some of them.
  */
 export async function readRange(
   log: LogPort,
--- a/src/log/snapshot/restoreTables.ts
+++ b/src/log/snapshot/restoreTables.ts
@@ -2,21 +2,21 @@
 import type { FleetTables, FrozenRow, Table } from '../../tables/index.js';
 import { type SerializedTables, serializedTablesSchema, TABLE_NAMES } from './SerializedTables.js';
 
-/** What became of a state that was offered. */
+/** Result of restoring a state. */
 export type RestoreResult =
   | { readonly type: 'restored' }
-  /** It is not ahead of what is applied, and nothing has changed. */
+  /** The state is not ahead of the applied records; the tables are unchanged. */
   | { readonly type: 'behind' }
   | { readonly type: 'refused'; readonly reason: string };
 
 /**
- * Checks that this program can go on from a state.
+ * Checks that this program can continue from a state.
  * @param state - The state.
- * @returns Why it cannot, or undefined where it can.
+ * @returns Why it cannot, or undefined if it can.
  */
 function findFault(state: SerializedTables): string | undefined {
-  // An instance that cannot read a record leaves it out of its state. Another one that can read
-  // it would go on from there without that record, and differ from the rest of the fleet.
+  // An instance that cannot read a record omits it from its state. If an instance that can read
+  // the record continued from that state, it would lack the record and diverge from the fleet.
   const skipped = (state.rows.frozen as readonly FrozenRow[]).find(
     (row) => row.formatVersion <= RECORD_FORMAT_VERSION,
   );
@@ -25,13 +25,13 @@
 }
 
 /**
- * Replaces the tables by a state, from a snapshot or from a peer, in one step.
+ * Replaces the contents of the tables with a state from a snapshot or a peer, in one step.
  *
- * A peer may be slower than this instance: a state that is not ahead is left alone, because going
- * back would revert accepted changes.
- * @param tables - The state to replace, in place.
- * @param offered - What {@link serializeTables} made, possibly by another program version.
- * @returns Whether the tables were replaced, and why not.
+ * A peer may be behind this instance. A state that is not ahead is ignored, because going back
+ * would revert accepted changes.
+ * @param tables - The tables, modified in place.
+ * @param offered - Result of {@link serializeTables}, possibly of another program version.
+ * @returns Whether the tables were replaced, and if not, why.
  */
 export function restoreTables(tables: FleetTables, offered: unknown): RestoreResult {
   const parsed = serializedTablesSchema.safeParse(offered);
--- a/src/log/snapshot/serializeTables.ts
+++ b/src/log/snapshot/serializeTables.ts
@@ -7,8 +7,8 @@
 } from './SerializedTables.js';
 
 /**
- * Takes the state as it is now; later changes of the tables do not show in it.
- * @param tables - The state.
+ * Copies the current state; later changes to the tables do not affect the copy.
+ * @param tables - Tables of the replicated state.
  * @returns The state as JSON values.
  */
 export function serializeTables(tables: FleetTables): SerializedTables {
--- a/src/log/snapshot/snapshotText.ts
+++ b/src/log/snapshot/snapshotText.ts
@@ -7,13 +7,13 @@
   type TableName,
 } from './SerializedTables.js';
 
-/** A character takes three bytes at most, escapes included, so a part stays below 64 KiB. */
+/** A character takes at most three bytes, including escapes, so a part stays below 64 KiB. */
 const PART_CHARACTER_COUNT = 16_000;
 const ROWS_PER_TURN = 1_000;
 const LINE_BREAK = '\n';
 
 /**
- * Hashes the text of a snapshot.
+ * Computes the hash of a snapshot's text.
  * @param texts - The text in parts.
  * @returns SHA-256 in hexadecimal.
  */
@@ -24,9 +24,9 @@
 }
 
 /**
- * Cuts a list into slices.
+ * Splits a list into slices.
  * @param items - The list.
- * @param count - Most items of a slice.
+ * @param count - Maximum number of items in a slice.
  * @returns The slices in order.
  */
 function sliceBy<Item>(items: readonly Item[], count: number): readonly (readonly Item[])[] {
@@ -37,11 +37,11 @@
 }
 
 /**
- * Maps a long list in slices with turns for other work in between, so that requests in progress
- * do not wait for the whole of it.
+ * Maps a long list in slices and yields to the event loop after each slice, so that requests in
+ * progress do not wait for the whole list.
  * @param items - The list.
  * @param mapSlice - Maps one slice.
- * @returns What the slices were mapped to.
+ * @returns The result of each slice, in order.
  */
 async function mapInTurns<Item, Result>(
   items: readonly Item[],
@@ -56,7 +56,7 @@
 }
 
 /**
- * Writes a state as text: its header, then a line for each row.
+ * Formats a state as text: a header line, followed by one line for each row.
  * @param state - The state.
  * @returns The text in parts.
  */
@@ -73,9 +73,9 @@
 }
 
 /**
- * Reads a state from its text.
- * @param texts - The text in parts, all of them in order.
- * @returns The state, or undefined where a newer program has written it in another format.
+ * Parses a state from its text.
+ * @param texts - All parts of the text, in order.
+ * @returns The state, or undefined if a newer program wrote it in another format.
  */
 export async function readSnapshotText(
   texts: readonly string[],
