--- a/src/log/ApplyVerdict.ts
+++ b/src/log/ApplyVerdict.ts
@@ -1,9 +1,9 @@
 import type { RecordVerdict } from '../tables/index.js';
 
-/** What became of an entry of the log. */
+/** Result of applying an entry of the log. */
 export type ApplyVerdict =
   | RecordVerdict
-  /** The record stands on the log already; this entry changed nothing. */
+  /** An earlier entry holds the same record; this entry changed nothing. */
   | { readonly type: 'repeated'; readonly first: RecordVerdict }
-  /** The entry lies before what is applied. */
+  /** The entry precedes the next offset to apply. */
   | { readonly type: 'stale' };
--- a/src/log/Backoff.ts
+++ b/src/log/Backoff.ts
@@ -6,14 +6,14 @@
 
 const GROWTH = 2;
 
-/** Growing pauses between attempts, back to the first one after a success. */
+/** Exponential backoff between attempts, which starts again after a success. */
 export class Backoff {
   private readonly options: BackoffOptions;
 
   private nextMs: number;
 
   /**
-   * Creates the pauses.
+   * Creates a backoff that starts with the first pause.
    * @param options - First and longest pause.
    */
   constructor(options: BackoffOptions) {
@@ -22,8 +22,8 @@
   }
 
   /**
-   * Takes the next pause.
-   * @returns Its length in milliseconds.
+   * Returns the next pause and doubles the one after it, up to the longest pause.
+   * @returns The pause in milliseconds.
    */
   take(): number {
     const pauseMs = this.nextMs;
@@ -31,7 +31,7 @@
     return pauseMs;
   }
 
-  /** Begins again with the first pause. */
+  /** Starts again with the first pause. */
   reset(): void {
     this.nextMs = this.options.firstMs;
   }
--- a/src/log/EntryApplier.ts
+++ b/src/log/EntryApplier.ts
@@ -8,7 +8,7 @@
 import { OffsetWaiters, type OffsetWaitOptions } from './OffsetWaiters.js';
 import { type RestoreResult, restoreTables } from './snapshot/restoreTables.js';
 
-/** Hears of each entry right after it was applied; `record` is undefined where none is readable. */
+/** Called for each entry after it was applied; `record` is undefined if it cannot be read. */
 export type AppliedListener = (
   entry: LogEntry,
   record: LogRecord | undefined,
@@ -17,12 +17,12 @@
 
 /** Options of {@link EntryApplier}. */
 export interface EntryApplierOptions {
-  /** State that the applier alone changes. */
+  /** State that only the applier modifies. */
   readonly tables: FleetTables;
   readonly events: EventLog;
 }
 
-/** Applies entries to the tables in order and without a gap, and tells those who wait for them. */
+/** Applies entries to the tables in order and without gaps, and notifies listeners and waiters. */
 export class EntryApplier {
   private readonly options: EntryApplierOptions;
 
@@ -39,25 +39,25 @@
   private areWaitsEnded = false;
 
   /**
-   * Creates an applier that nobody listens to.
-   * @param options - State, and where rejected records are told.
+   * Creates an applier without listeners.
+   * @param options - State, and event log for rejected records.
    */
   constructor(options: EntryApplierOptions) {
     this.options = options;
   }
 
   /**
-   * Counts the records that stand on the log, as far as is known, and are not applied.
-   * @returns Count of records.
+   * Counts the records that are known to be on the log and have not been applied.
+   * @returns Number of records.
    */
   getLagCount(): number {
     return Math.max(0, this.knownEndOffset - this.options.tables.nextOffset);
   }
 
   /**
-   * Adds a listener to each applied entry.
+   * Adds a listener that is called for each applied entry.
    * @param listener - The listener.
-   * @returns Removes it again.
+   * @returns Function that removes the listener.
    */
   addAppliedListener(listener: AppliedListener): () => void {
     this.listeners.add(listener);
@@ -65,9 +65,9 @@
   }
 
   /**
-   * Adds a listener to the replacement of the state by a snapshot.
+   * Adds a listener that is called after the state was replaced by one from a snapshot or a peer.
    * @param listener - The listener.
-   * @returns Removes it again.
+   * @returns Function that removes the listener.
    */
   addRestoredListener(listener: () => void): () => void {
     this.restoredListeners.add(listener);
@@ -75,9 +75,9 @@
   }
 
   /**
-   * Applies what was read from the log.
+   * Applies entries that were read from the log.
    * @param entries - The entries, in order.
-   * @param endOffset - Offset behind the last record of the log, as the read told.
+   * @param endOffset - Offset after the last record of the log, as returned by the read.
    */
   applyRead(entries: readonly LogEntry[], endOffset: number): void {
     entries.forEach((entry) => this.apply(entry));
@@ -86,8 +86,8 @@
   }
 
   /**
-   * Takes entries that a peer has read: in any order, repeated or with gaps. Those ahead of a gap
-   * wait for the missing ones.
+   * Accepts entries that a peer has read, in any order, with repetitions or gaps. Entries after a
+   * gap are buffered until the missing ones arrive.
    * @param entries - The entries.
    */
   offer(entries: readonly LogEntry[]): void {
@@ -98,8 +98,8 @@
   /**
    * Waits until the record at an offset is applied.
    * @param offset - The offset.
-   * @param options - Limits of the wait.
-   * @returns Whether it was applied before the limits ended the wait.
+   * @param options - Time limit and abort signal of the wait.
+   * @returns Whether the record was applied before the wait ended.
    */
   waitForOffset(offset: number, options: OffsetWaitOptions): Promise<boolean> {
     if (offset < this.options.tables.nextOffset) return Promise.resolve(true);
@@ -107,16 +107,16 @@
     return this.waiters.wait(offset, options);
   }
 
-  /** Ends every wait as not reached, also those to come. */
+  /** Ends all waits as not reached; later waits end at once. */
   endWaits(): void {
     this.areWaitsEnded = true;
     this.waiters.abandon();
   }
 
   /**
-   * Goes on from a state that a snapshot or a peer holds, if it is ahead of what is applied.
+   * Replaces the tables with the state of a snapshot or a peer, if that state is ahead of them.
    * @param state - The state, possibly written by another program version.
-   * @returns Whether the tables were replaced, and why not.
+   * @returns Whether the tables were replaced, and if not, why.
    */
   restore(state: unknown): RestoreResult {
     const result = restoreTables(this.options.tables, state);
@@ -145,7 +145,7 @@
     this.listeners.forEach((listener) => listener(entry, record, verdict));
   }
 
-  /** Applies the offered entries that are next, and ends the waits that are over by then. */
+  /** Applies buffered entries up to the next gap and ends the waits that are reached. */
   private goOn(): void {
     const { tables } = this.options;
     let entry = this.buffer.take(tables.nextOffset);
--- a/src/log/LogFollower.ts
+++ b/src/log/LogFollower.ts
@@ -22,27 +22,30 @@
 export interface LogFollowerOptions {
   readonly log: LogPort;
   readonly stream: string;
-  /** State that the follower alone changes. */
+  /** State that only the follower modifies. */
   readonly tables: FleetTables;
   readonly clock: Clock;
   readonly events: EventLog;
   readonly onApplied?: AppliedListener;
   /**
-   * Loads a state to begin with, and one to go on from when the log no longer keeps what is to be
-   * read next; without it, the latest whole snapshot on the log.
-   * @returns The state, or undefined where there is none.
+   * Loads the initial state, and a newer state when the log no longer keeps the next record to
+   * read. The default loads the latest complete snapshot from the log.
+   * @returns The state, or undefined if there is none.
    */
   readonly loadSnapshot?: () => Promise<SerializedTables | undefined>;
-  /** Called after a snapshot has replaced the state, so that views of it can be built anew. */
+  /** Called after the state was replaced, so that views derived from it can be rebuilt. */
   readonly onRestored?: () => void;
-  /** How long the service may hold a read open, in milliseconds. */
+  /** How long the log service may hold a read open, in milliseconds. */
   readonly readWaitMs?: number;
-  /** How much longer a read may take before it counts as failed, in milliseconds. */
+  /** Additional time after which a read is treated as failed, in milliseconds. */
   readonly readGraceMs?: number;
   readonly backoff?: BackoffOptions;
 }
 
-/** Reads a stream in order and applies it to the tables, through outages and retention. */
+/**
+ * Reads a stream in order and applies it to the tables. Continues after outages of the log, and
+ * from a snapshot when the retention has removed records that it still needs.
+ */
 export class LogFollower {
   private readonly options: LogFollowerOptions;
 
@@ -63,8 +66,8 @@
   private reachedAtMs: number | undefined;
 
   /**
-   * Creates a follower, which reads nothing before it is started.
-   * @param options - Stream, state and whom to tell.
+   * Creates a follower, which does not read before it is started.
+   * @param options - Stream, state and listeners.
    */
   constructor(options: LogFollowerOptions) {
     this.options = options;
@@ -74,12 +77,12 @@
     if (options.onRestored !== undefined) this.applier.addRestoredListener(options.onRestored);
   }
 
-  /** Whether the state holds every record that the last answer of the log knew of. */
+  /** Whether the state includes every record up to the end of the log that the last read reported. */
   get isAtEnd(): boolean {
     return this.reachedAtMs !== undefined && this.getLagCount() === 0;
   }
 
-  /** Whether records are lost to this instance until there is a snapshot that holds them. */
+  /** Whether the log no longer keeps records that this instance needs and no snapshot has them. */
   get isTruncated(): boolean {
     return this.isCutOff;
   }
@@ -91,29 +94,30 @@
 
   /**
    * Monotonic time at which the last read that reached the end of the log was sent; undefined
-   * before the first one.
+   * before the first such read.
    *
-   * A process that freezes while an answer is on its way finds it in the socket after it thaws.
-   * The time of receipt would make that answer look fresh, the time of sending cannot.
+   * If a process is frozen while a response is in flight, it finds the response in the socket when
+   * it resumes. The time of receipt would make this response look current; the time of sending
+   * does not.
    */
   get lastReachedAtMs(): number | undefined {
     return this.reachedAtMs;
   }
 
   /**
-   * Counts the records that stand on the log, as far as is known, and are not applied.
-   * @returns Count of records.
+   * Counts the records that are known to be on the log and have not been applied.
+   * @returns Number of records.
    */
   getLagCount(): number {
     return this.applier.getLagCount();
   }
 
-  /** Begins to read. */
+  /** Starts reading. */
   start(): void {
     this.running ??= this.run();
   }
 
-  /** Ends reading; waits that are under way end as not reached. */
+  /** Stops reading; pending waits end as not reached. */
   async stop(): Promise<void> {
     this.stopping.abort();
     this.applier.endWaits();
@@ -121,28 +125,28 @@
   }
 
   /**
-   * Adds a listener to each applied entry.
+   * Adds a listener that is called for each applied entry.
    * @param listener - The listener.
-   * @returns Removes it again.
+   * @returns Function that removes the listener.
    */
   addAppliedListener(listener: AppliedListener): () => void {
     return this.applier.addAppliedListener(listener);
   }
 
   /**
-   * Adds a listener to the replacement of the state by a snapshot.
+   * Adds a listener that is called after the state was replaced by one from a snapshot or a peer.
    * @param listener - The listener.
-   * @returns Removes it again.
+   * @returns Function that removes the listener.
    */
   addRestoredListener(listener: () => void): () => void {
     return this.applier.addRestoredListener(listener);
   }
 
   /**
-   * Takes entries that a peer has read from the log: in any order, repeated or with gaps.
+   * Accepts entries that a peer has read from the log, in any order, with repetitions or gaps.
    *
-   * One slow reader must not lag behind an accepted change, so those who read it push it on.
-   * Entries are applied only without a gap; those ahead of one wait for the missing ones.
+   * Instances push the entries that they read to each other, so that a slow reader does not lag
+   * behind an accepted change. Entries after a gap are buffered until the missing ones arrive.
    * @param entries - The entries.
    */
   offer(entries: readonly LogEntry[]): void {
@@ -152,17 +156,17 @@
   /**
    * Waits until the record at an offset is applied.
    * @param offset - The offset.
-   * @param options - Limits of the wait.
-   * @returns Whether it was applied before the limits ended the wait.
+   * @param options - Time limit and abort signal of the wait.
+   * @returns Whether the record was applied before the wait ended.
    */
   waitForOffset(offset: number, options: OffsetWaitOptions = {}): Promise<boolean> {
     return this.applier.waitForOffset(offset, options);
   }
 
   /**
-   * Goes on from a state that a snapshot or a peer holds, if it is ahead of what is applied.
+   * Replaces the tables with the state of a snapshot or a peer, if that state is ahead of them.
    * @param state - The state, possibly written by another program version.
-   * @returns Whether the tables were replaced, and why not.
+   * @returns Whether the tables were replaced, and if not, why.
    */
   restore(state: unknown): RestoreResult {
     return this.applier.restore(state);
@@ -186,7 +190,7 @@
     if (this.stopping.signal.aborted) return;
     await this.takeResult(result, fromOffset, sentAtMs);
     this.noteReachable();
-    // A service that answers without waiting would turn the loop into a flood of empty reads.
+    // Without this pause, a service that answers at once would cause a busy loop of empty reads.
     const isEmpty = result.type === 'entries' && result.entries.length === 0;
     if (isEmpty && clock.monotonicMs() - sentAtMs < EMPTY_READ_GAP_MS) {
       await this.sleepFor(EMPTY_READ_GAP_MS);
@@ -210,7 +214,7 @@
     if (this.options.tables.nextOffset >= endOffset) this.reachedAtMs = sentAtMs;
   }
 
-  /** Begins from the latest snapshot, so that a new instance need not read the whole log. */
+  /** Loads the latest snapshot, so that a new instance does not have to read the whole log. */
   private async loadAtStart(): Promise<void> {
     if (this.hasLoadedAtStart) return;
     const state = await this.loadSnapshot();
@@ -224,11 +228,11 @@
   }
 
   /**
-   * Loads a snapshot after the retention has passed what was to be read next.
+   * Loads a snapshot after the retention has removed the next record to read.
    *
-   * An instance that was away for longer than the log keeps records would lose accepted changes
-   * if it read on from the first one kept. It goes on only from a snapshot that leaves no gap,
-   * and tries again until there is one.
+   * An instance that was disconnected for longer than the retention would lose accepted changes if
+   * it continued from the first record kept. It continues only from a snapshot that leaves no gap,
+   * and retries until there is one.
    */
   private async loadAhead(firstOffset: number): Promise<void> {
     const { events, tables } = this.options;
--- a/src/log/LogWriter.ts
+++ b/src/log/LogWriter.ts
@@ -26,51 +26,51 @@
 export interface LogWriterOptions {
   readonly log: LogPort;
   readonly stream: string;
-  /** Applies the stream to `tables`; the writer learns its verdicts there. */
+  /** Applies the stream to `tables`, from which the writer reads the verdicts on its records. */
   readonly follower: LogFollower;
   readonly tables: FleetTables;
-  /** Name of the writer, on each record. */
+  /** Name of the writer, which each record carries. */
   readonly writer: string;
   readonly clock: Clock;
   /**
-   * Makes the id of a record.
-   * @returns An id that nobody has used before.
+   * Creates the id of a record.
+   * @returns An id that has not been used before.
    */
   readonly makeRecordId: () => string;
-  /** How long an append may take before it counts as lost, in milliseconds. */
+  /** How long an append may take before it is treated as failed, in milliseconds. */
   readonly appendWaitMs?: number;
-  /** Least time between two appends, in milliseconds; what is written meanwhile goes together. */
+  /** Minimum time between appends, in milliseconds; writes in between share one append. */
   readonly appendGapMs?: number;
-  /** Appends that may go out without a gap after a quiet time. */
+  /** Number of appends that may be sent without a gap after an idle period. */
   readonly appendBurstCount?: number;
   readonly backoff?: BackoffOptions;
-  /** Hears how long an append took that was answered, in milliseconds. */
+  /** Called with the duration of each successful append, in milliseconds. */
   readonly onAppended?: (tookMs: number) => void;
 }
 
 /** Limits of one write. */
 export interface WriteOptions {
-  /** Monotonic time after which the caller has no use for the verdict. */
+  /** Monotonic time after which the caller no longer needs the verdict. */
   readonly deadlineMs: number;
-  /** Whether to answer `not-written` at once while the log is known to be out. */
+  /** Whether to return `not-written` at once while the log is known to be unavailable. */
   readonly failsFast?: boolean;
 }
 
 /**
- * Writes records: appends them, reads them back through the follower, and only then answers.
+ * Appends records to the log and returns their verdicts once the follower has read them back.
  *
- * An append whose answer is lost may have taken effect. It is repeated with the same record ids,
- * which the fold applies once, until the records are read back or their deadlines pass.
+ * An append may take effect although its response is lost. It is repeated with the same record
+ * ids until the records are read back or their deadlines pass; the fold applies each id once.
  */
 export class LogWriter {
   private readonly options: LogWriterOptions;
 
   private readonly backoff: Backoff;
 
-  /** Records without a verdict by their ids, in the order of their writes. */
+  /** Writes without a verdict by record id, in the order in which they were made. */
   private readonly pending = new Map<string, PendingWrite>();
 
-  /** Ids of the records to append, again or for the first time, in the order of their writes. */
+  /** Ids of the records to append or to append again, in the order of their writes. */
   private readonly unsent = new Set<string>();
 
   private readonly closing = new AbortController();
@@ -84,7 +84,7 @@
   private isOut = false;
 
   /**
-   * Creates a writer; its follower has to be started for a write to end.
+   * Creates a writer. No write gets a verdict before the follower is started.
    * @param options - Stream, follower and identity of the writer.
    */
   constructor(options: LogWriterOptions) {
@@ -108,9 +108,10 @@
 
   /**
    * Writes a record and waits until it is read back.
-   * @param body - What the record says.
-   * @param options - Limits of the write.
-   * @returns The verdict, `unknown` if the deadline passed first, or `not-written`.
+   * @param body - Body of the record.
+   * @param options - Deadline of the write, and whether it fails fast.
+   * @returns The verdict; `unknown` if the deadline passed after the record was sent; or
+   * `not-written` if it was never sent.
    */
   write(body: RecordBody, options: WriteOptions): Promise<WriteResult> {
     const { clock, makeRecordId, writer } = this.options;
@@ -134,7 +135,7 @@
     return this.enqueue(parsed.data, waitMs, failsFast);
   }
 
-  /** Ends the writer; writes under way are answered with what is known of them. */
+  /** Closes the writer. Pending writes end as `unknown` if they were sent, else `not-written`. */
   close(): void {
     this.closing.abort();
     this.removeListeners.forEach((remove) => remove());
@@ -155,7 +156,7 @@
     const pending = new PendingWrite({ record, failsFast, waitMs, onExpired });
     this.pending.set(record.recordId, pending);
     this.unsent.add(record.recordId);
-    // All that is written in one turn goes out in one append.
+    // All writes of one event loop turn share one append.
     queueMicrotask(() => {
       void this.pump();
     });
@@ -166,7 +167,7 @@
     if (this.isPumping) return;
     this.isPumping = true;
     while (this.unsent.size > 0 && !this.closing.signal.aborted) {
-      // eslint-disable-next-line no-await-in-loop -- the records that come meanwhile join the batch
+      // eslint-disable-next-line no-await-in-loop -- records written in the meantime join the batch
       await this.waitForGap();
       // eslint-disable-next-line no-await-in-loop -- one append at a time keeps the order
       await this.appendBatch(this.takeBatch());
@@ -175,9 +176,10 @@
   }
 
   /**
-   * Failure: under load each instance appends as fast as the log answers, and all of them together
-   * take more than the platform's log can; renewals of leases then wait behind claims. The gap is
-   * kept on average, so that a few appends after a quiet time go out at once.
+   * Limits the rate of appends. Without the limit, under load each instance appends as fast as the
+   * log answers, all instances together exceed the capacity of the platform's log, and lease
+   * renewals wait behind claims. The gap applies on average, so a few appends after an idle period
+   * are sent at once.
    */
   private async waitForGap(): Promise<void> {
     const { clock, appendGapMs = 0, appendBurstCount = 1 } = this.options;
@@ -220,7 +222,7 @@
     }
   }
 
-  /** Queues a batch again ahead of later records, but for those that were read back meanwhile. */
+  /** Queues a failed batch ahead of later records, without records that have been read back. */
   private putBack(batch: readonly PendingWrite[]): void {
     const later = [...this.unsent];
     this.unsent.clear();
--- a/src/log/OfferBuffer.ts
+++ b/src/log/OfferBuffer.ts
@@ -2,12 +2,12 @@
 
 const MAX_AHEAD_COUNT = 5_000;
 
-/** Entries that peers pushed and that cannot be applied yet, because earlier ones are missing. */
+/** Buffer of entries pushed by peers that cannot be applied yet because earlier ones are missing. */
 export class OfferBuffer {
   private readonly entries = new Map<number, LogEntry>();
 
   /**
-   * Keeps entries that lie ahead, within a bounded distance of what is applied.
+   * Adds the entries that are not yet applied and within a limited distance of the next offset.
    * @param offered - Entries in any order.
    * @param nextOffset - Offset of the next record to apply.
    */
@@ -19,9 +19,9 @@
   }
 
   /**
-   * Takes an entry out.
-   * @param offset - Its offset.
-   * @returns The entry, or undefined where nobody has pushed it.
+   * Removes an entry from the buffer.
+   * @param offset - Offset of the entry.
+   * @returns The entry, or undefined if it is not in the buffer.
    */
   take(offset: number): LogEntry | undefined {
     const entry = this.entries.get(offset);
@@ -30,7 +30,7 @@
   }
 
   /**
-   * Drops the entries that were applied some other way.
+   * Removes the entries before an offset, which have been applied from another source.
    * @param nextOffset - Offset of the next record to apply.
    */
   dropBefore(nextOffset: number): void {
--- a/src/log/OffsetWaiters.ts
+++ b/src/log/OffsetWaiters.ts
@@ -1,20 +1,20 @@
 /** Limits of a wait for an offset. */
 export interface OffsetWaitOptions {
-  /** Longest wait in milliseconds; no limit without it. */
+  /** Maximum wait in milliseconds; unlimited if undefined. */
   readonly waitMs?: number;
   readonly signal?: AbortSignal;
 }
 
-/** Callers that wait until an offset is applied. */
+/** Pending waits for offsets to be applied. */
 export class OffsetWaiters {
-  /** Offset that each waiter waits for, by the function that ends its wait. */
+  /** Awaited offsets, keyed by the function that ends the wait. */
   private readonly waiters = new Map<(isReached: boolean) => void, number>();
 
   /**
-   * Waits until an offset is reached.
+   * Waits until the record at an offset is applied.
    * @param offset - The offset.
-   * @param options - Limits of the wait.
-   * @returns Whether it was reached before the limits ended the wait.
+   * @param options - Time limit and abort signal of the wait.
+   * @returns Whether the record was applied before the wait ended.
    */
   wait(offset: number, options: OffsetWaitOptions): Promise<boolean> {
     const { signal, waitMs } = options;
@@ -35,7 +35,7 @@
   }
 
   /**
-   * Tells the waiters how far the state has come.
+   * Ends the waits for offsets before the next one to apply as reached.
    * @param nextOffset - Offset of the next record to apply.
    */
   reach(nextOffset: number): void {
@@ -44,7 +44,7 @@
       .forEach(([settle]) => settle(true));
   }
 
-  /** Ends every wait as not reached. */
+  /** Ends all waits as not reached. */
   abandon(): void {
     [...this.waiters.keys()].forEach((settle) => settle(false));
   }
--- a/src/log/PendingWrite.ts
+++ b/src/log/PendingWrite.ts
@@ -4,19 +4,19 @@
 /** Options of {@link PendingWrite}. */
 export interface PendingWriteOptions {
   readonly record: LogRecord;
-  /** Whether to give up at once when the log is out and nothing was sent. */
+  /** Whether to give up at once if the log is unavailable and the record was never sent. */
   readonly failsFast: boolean;
   readonly waitMs: number;
   readonly onExpired: (pending: PendingWrite) => void;
 }
 
-/** One record on its way to the log and back. */
+/** Write of one record that waits for its verdict. */
 export class PendingWrite {
   readonly record: LogRecord;
 
   readonly failsFast: boolean;
 
-  /** Size of the record as JSON. */
+  /** Size of the record as JSON, in bytes. */
   readonly sizeBytes: number;
 
   readonly result: Promise<WriteResult>;
@@ -28,8 +28,8 @@
   private isSent = false;
 
   /**
-   * Begins the wait for a record's verdict.
-   * @param options - Record and limits.
+   * Starts the wait for the verdict on a record.
+   * @param options - Record, time limit and expiry callback.
    */
   constructor(options: PendingWriteOptions) {
     this.record = options.record;
@@ -41,12 +41,12 @@
     this.timer = setTimeout(() => options.onExpired(this), options.waitMs);
   }
 
-  /** Whether the record may stand on the log. */
+  /** Whether the record was sent, so it may be on the log. */
   get mayStand(): boolean {
     return this.isSent;
   }
 
-  /** Notes that the record is about to be sent. */
+  /** Marks the record as sent; called before the append. */
   markSent(): void {
     this.isSent = true;
   }
@@ -61,7 +61,8 @@
   }
 
   /**
-   * Ends the wait without a verdict: what was sent may stand on the log, the rest does not.
+   * Ends the wait without a verdict: as `unknown` if the record was sent, since it may be on the
+   * log, or else as `not-written`.
    * @param reason - Why the wait ends.
    */
   giveUp(reason: string): void {
--- a/src/log/WriteResult.ts
+++ b/src/log/WriteResult.ts
@@ -1,14 +1,14 @@
-/** What became of a record that was to be written. */
+/** Result of writing a record. */
 export type WriteResult =
   | {
       readonly type: 'accepted';
       readonly offset: number;
-      /** Claims of the record that were refused because their request is claimed already. */
+      /** Ids of requests whose claims were refused because they were already claimed. */
       readonly refusedRequestIds?: readonly string[];
     }
-  /** It stands on the log and did not apply, or could never be written. */
+  /** The record is on the log and was rejected, or it is invalid and was not written. */
   | { readonly type: 'rejected'; readonly reason: string }
-  /** It may stand on the log and apply at any time. */
+  /** The record may be on the log and may be applied at any time. */
   | { readonly type: 'unknown'; readonly reason: string }
-  /** It was never sent, so it certainly does not apply. */
+  /** The record was never sent, so it will not be applied. */
   | { readonly type: 'not-written'; readonly reason: string };
--- a/src/log/applyEntry.ts
+++ b/src/log/applyEntry.ts
@@ -21,18 +21,18 @@
   }),
 });
 
-/** An entry with what applying it decided. */
+/** Result of applying an entry, with the record that it holds. */
 export interface AppliedEntry {
   readonly verdict: ApplyVerdict;
-  /** Undefined where the entry is stale or holds no readable record. */
+  /** Undefined if the entry is stale or holds no readable record. */
   readonly record: LogRecord | undefined;
 }
 
 /**
- * Applies a record that could be read, unless its id is known already.
+ * Applies a decoded record unless a record with its id has already been applied.
  *
- * An append whose answer was lost is repeated with the same record id, and the record stands on
- * the log twice. The verdict on the first one is remembered, so the second changes nothing.
+ * An append whose response was lost is repeated with the same record id, so the log may contain
+ * the record twice. The verdict on the first copy is kept, and the second copy changes nothing.
  * @param tables - Tables of the replicated state.
  * @param record - The record.
  * @param offset - Offset of the record.
@@ -48,7 +48,8 @@
 }
 
 /**
- * Rejects an entry that this program cannot read; a broken publication shows in the history.
+ * Rejects an entry that this program cannot read. An unreadable publication is added to the
+ * publication history.
  * @param tables - Tables of the replicated state.
  * @param entry - The entry.
  * @param reason - Why it cannot be read.
@@ -65,12 +66,13 @@
 }
 
 /**
- * Marks the subtrees of a record of a newer format, so that this program stops deciding there.
+ * Freezes the subtrees that a record of a newer format concerns, so that this program makes no
+ * further decisions on them.
  *
- * While instances are upgraded one by one, the new ones act on records that the old ones cannot
- * read; an old one that went on would decide on a state that the others no longer share.
+ * During a rolling upgrade, upgraded instances act on records that older ones cannot read. An
+ * older instance that continued would decide on a state that differs from the others' state.
  * @param tables - Tables of the replicated state.
- * @param decoded - The record's version and teams.
+ * @param decoded - Format version and teams of the record.
  * @param offset - Offset of the record.
  */
 function freeze(
@@ -86,9 +88,9 @@
 }
 
 /**
- * Applies an entry and tells which record it holds.
+ * Applies an entry and returns the verdict together with the record.
  * @param tables - Tables of the replicated state.
- * @param entry - The entry at the state's next offset, or an earlier one.
+ * @param entry - The entry at the next offset of the state, or an earlier one.
  * @returns The verdict and the record.
  * @throws RattanliftError Of kind `internal` when entries before this one are missing.
  */
@@ -113,10 +115,11 @@
 }
 
 /**
- * Applies an entry of the log to the state: a pure function of the two, alike in every instance.
- * @param tables - The state, which is changed in place.
- * @param entry - The entry at the state's next offset, or an earlier one.
- * @returns Whether the record applied, and why not.
+ * Applies an entry of the log to the state. The result depends only on the state and the entry, so
+ * it is the same in every instance.
+ * @param tables - Tables of the replicated state, modified in place.
+ * @param entry - The entry at the next offset of the state, or an earlier one.
+ * @returns Whether the record was accepted, and if not, why.
  * @throws RattanliftError Of kind `internal` when entries before this one are missing.
  */
 export function applyEntry(tables: FleetTables, entry: LogEntry): ApplyVerdict {
--- a/src/log/decodeEntry.ts
+++ b/src/log/decodeEntry.ts
@@ -2,7 +2,7 @@
 import type { LogEntry } from '../platform/index.js';
 import { type LogRecord, logRecordSchema, RECORD_FORMAT_VERSION } from '../records/index.js';
 
-/** What an entry of the log holds. */
+/** Result of decoding an entry of the log. */
 export type DecodedEntry =
   | { readonly type: 'record'; readonly record: LogRecord }
   | { readonly type: 'newer'; readonly formatVersion: number; readonly teams: readonly string[] }
@@ -16,7 +16,7 @@
 });
 
 /**
- * Reads the team of a pool.
+ * Returns the team of a pool.
  * @param pool - Pool as `team/pool`.
  * @returns The team.
  */
@@ -25,9 +25,9 @@
 }
 
 /**
- * Reads which teams a record of a newer format concerns, as far as it still has today's fields.
+ * Reads the teams that a record of a newer format concerns, if it still has the current fields.
  * @param payload - The record.
- * @returns The teams; empty where they cannot be read.
+ * @returns The teams; empty if they cannot be read.
  */
 function readTeams(payload: unknown): readonly string[] {
   const byTeam = teamSchema.safeParse(payload);
@@ -41,7 +41,7 @@
 /**
  * Decodes an entry of the log.
  * @param entry - The entry.
- * @returns Its record, or why there is none.
+ * @returns The record, or why it cannot be read.
  */
 export function decodeEntry(entry: LogEntry): DecodedEntry {
   const newer = newerSchema.safeParse(entry.payload);
--- a/src/log/findFreeze.ts
+++ b/src/log/findFreeze.ts
@@ -5,10 +5,10 @@
 const EVERY_SUBTREE = '*';
 
 /**
- * Lists the subtrees that a record decides on.
+ * Lists the subtrees that a record makes decisions on.
  * @param body - Body of the record.
- * @returns Teams, or everything; empty for a record that decides nothing, but gives something up
- * or reports what has happened, which is true whatever else stands on the log.
+ * @returns The teams, or `*` for all of them. Empty for a record that only gives something up or
+ * reports an event, because it is valid whatever other records are on the log.
  */
 function listSubtrees(body: RecordBody): readonly string[] {
   const teamOf = (pool: string): string => pool.slice(0, pool.indexOf('/'));
@@ -42,10 +42,10 @@
 }
 
 /**
- * Finds out whether a record decides on a subtree that this program cannot read in full.
+ * Checks whether a record makes decisions on a subtree with records that this program cannot read.
  * @param tables - Tables of the replicated state.
  * @param body - Body of the record.
- * @returns Why it must not be written, or undefined where it may.
+ * @returns Why the record must not be written, or undefined if it may be written.
  */
 export function findFreeze(tables: FleetTables, body: RecordBody): string | undefined {
   const subtree = listSubtrees(body).find((name) => tables.isFrozen(name));
--- a/src/log/nameClaims.ts
+++ b/src/log/nameClaims.ts
@@ -2,13 +2,13 @@
 import type { FleetTables } from '../tables/index.js';
 
 /**
- * Names in each settlement the claim that its writer sees, unless it names one already.
+ * Adds to each settlement the offset of the claim that the writer sees, unless it has one.
  *
- * The record may reach the log late, when the request has been claimed anew; with the name the
- * fold tells that the settlement is of the earlier claim.
- * @param tables - The state that the writer acts on.
+ * The record may reach the log late, after the request has been claimed again. The offset tells
+ * the fold that the settlement belongs to the earlier claim.
+ * @param tables - State that the writer acts on.
  * @param body - Body of the record.
- * @returns The record, with the claims named where it settles some.
+ * @returns The body, with claim offsets added to its settlements if it has any.
  */
 export function nameClaims(tables: FleetTables, body: RecordBody): RecordBody {
   if (body.type !== 'requests-settled') return body;
--- a/src/log/raceTimeout.ts
+++ b/src/log/raceTimeout.ts
@@ -1,12 +1,12 @@
 import { throwError } from '../errors/index.js';
 
 /**
- * Waits for a call to the log, but not for ever.
+ * Waits for a call to the log with a time limit.
  *
- * A connection that something between the two ends has lost track of never answers and never
- * fails; without this limit one such call would stop everything behind it.
- * @param call - The call under way; its late result is dropped.
- * @param waitMs - Longest wait, in milliseconds.
+ * If a device between the two ends has dropped the state of a connection, a call on it neither
+ * returns nor fails. Without this limit, one such call would block everything behind it.
+ * @param call - The pending call; a late result is ignored.
+ * @param waitMs - Maximum wait, in milliseconds.
  * @returns The result of the call.
  * @throws RattanliftError Of kind `log-unavailable` when the wait ends first.
  */
--- a/src/records/LogRecord.ts
+++ b/src/records/LogRecord.ts
@@ -9,11 +9,11 @@
 const claimSchema = z
   .strictObject({
     requestId: id,
-    /** Entry instance that sends the request on. */
+    /** Entry instance that forwards the request. */
     entry: id,
-    /** Wall-clock time after which the claim may be forgotten. */
+    /** Wall-clock time after which the claim may be deleted, in milliseconds. */
     keepUntilMs: z.number(),
-    /** Hash of the request, to tell a repeat from a reused id. */
+    /** Hash of the request, to distinguish a repeated request from a reused id. */
     fingerprint: z.string(),
   })
   .readonly();
@@ -22,7 +22,7 @@
   z.strictObject({
     type: z.literal('settings-published'),
     team: id,
-    /** Version that the operator saw; 0 for the first publication. */
+    /** Version that the publication is based on; 0 for the first publication. */
     baseVersion: count,
     /** JSON with comments, as the operator wrote it. */
     document: z.string(),
@@ -41,7 +41,7 @@
   z.strictObject({
     type: z.literal('instance-lapsed'),
     instance: id,
-    /** Offset of the last renewal that the writer had seen when its wait ended. */
+    /** Offset of the last renewal that the writer had seen when its wait for another one ended. */
     observedRenewalOffset: count,
     by: id,
   }),
@@ -49,7 +49,7 @@
     type: z.literal('home-claimed'),
     pool: id,
     instance: id,
-    /** Term that the writer saw; the accepted claim starts the next one. */
+    /** Current term as the writer saw it; an accepted claim starts the next term. */
     expectedTerm: count,
   }),
   z.strictObject({ type: z.literal('home-released'), pool: id, instance: id, term: count }),
@@ -59,7 +59,7 @@
     pool: id,
     instance: id,
     term: count,
-    /** Version of the VM's assignment that the writer saw; 0 where it never had one. */
+    /** Version of the VM's assignment as the writer saw it; 0 if the VM was never assigned. */
     expectedVersion: count,
   }),
   z.strictObject({
@@ -75,7 +75,7 @@
   z.strictObject({
     type: z.literal('wave-started'),
     wave: id,
-    /** Pools whose VMs are to be maintained, as `team/pool`. */
+    /** Pools whose VMs the wave maintains, as `team/pool`. */
     pools: z.array(id).readonly(),
     author: z.string(),
   }),
@@ -88,7 +88,7 @@
     vm: id,
     instance: id,
     term: count,
-    /** Boot that the VM showed before the step; a later one proves the reboot. */
+    /** Boot id of the VM before the step; a later boot proves that the VM was rebooted. */
     bootId: z.string(),
   }),
   z.strictObject({
@@ -106,7 +106,7 @@
     instance: id,
     term: count,
     claims: z.array(claimSchema).readonly(),
-    /** Wall-clock time of the writer; the fold has no clock to forget claims by. */
+    /** Wall-clock time of the writer, in milliseconds; the fold has no clock to expire claims. */
     writtenAtMs: z.number().optional(),
   }),
   z.strictObject({
@@ -120,7 +120,7 @@
           .strictObject({
             requestId: id,
             outcome: z.enum(['run', 'not-run', 'unknown']),
-            /** Offset of the claim that the outcome is of; a repeat has a claim of its own. */
+            /** Offset of the claim that the outcome belongs to; a repeat has its own claim. */
             claimedOffset: count.optional(),
           })
           .readonly(),
@@ -129,23 +129,23 @@
   }),
 ]);
 
-/** Schema of a record as it stands on the platform's log. */
+/** Schema of a record on the platform's log. */
 export const logRecordSchema = z
   .strictObject({
     formatVersion: z.literal(RECORD_FORMAT_VERSION),
-    /** Id of the record, the same when an append is repeated. */
+    /** Id of the record, which stays the same when an append is repeated. */
     recordId: id,
-    /** Instance or operator that wrote it. */
+    /** Instance or operator that wrote the record. */
     writer: z.string(),
     body,
   })
   .readonly();
 
-/** A record as it stands on the platform's log. */
+/** A record on the platform's log. */
 export type LogRecord = z.output<typeof logRecordSchema>;
-/** What a record says. */
+/** Body of a record. */
 export type RecordBody = Readonly<z.output<typeof body>>;
-/** Body of one type. */
+/** Body of records of one type. */
 export type RecordBodyOf<Type extends RecordBody['type']> = Extract<
   RecordBody,
   { readonly type: Type }
