--- a/src/log/LogFollower.ts
+++ b/src/log/LogFollower.ts
@@ -77,7 +77,7 @@
     if (options.onRestored !== undefined) this.applier.addRestoredListener(options.onRestored);
   }
 
-  /** Whether the state includes every record up to the end of the log that the last read reported. */
+  /** Whether all records up to the end of the log that the last read reported are applied. */
   get isAtEnd(): boolean {
     return this.reachedAtMs !== undefined && this.getLagCount() === 0;
   }
@@ -244,7 +244,7 @@
     if (!this.isCutOff) return;
     if (!wasCutOff) events.write('logTruncated', { neededOffset, firstOffset });
     const gap = `records ${tables.nextOffset} to ${firstOffset - 1}`;
-    throwError('log-unavailable', `The log keeps no ${gap} any more, nor does a snapshot.`);
+    throwError('log-unavailable', `Neither the log nor a snapshot contains ${gap}.`);
   }
 
   private async pause(thrown: unknown): Promise<void> {
--- a/src/log/OfferBuffer.ts
+++ b/src/log/OfferBuffer.ts
@@ -2,7 +2,7 @@
 
 const MAX_AHEAD_COUNT = 5_000;
 
-/** Buffer of entries pushed by peers that cannot be applied yet because earlier ones are missing. */
+/** Buffers entries pushed by peers that cannot be applied yet because earlier ones are missing. */
 export class OfferBuffer {
   private readonly entries = new Map<number, LogEntry>();
 
--- a/src/log/applyEntry.ts
+++ b/src/log/applyEntry.ts
@@ -98,7 +98,7 @@
   const { offset } = entry;
   if (offset < tables.nextOffset) return { verdict: { type: 'stale' }, record: undefined };
   if (offset > tables.nextOffset) {
-    throwError('internal', `Entry ${offset} cannot be applied before ${tables.nextOffset}.`);
+    throwError('internal', `Entry ${offset} cannot be applied: the next is ${tables.nextOffset}.`);
   }
   Object.assign(tables, { nextOffset: offset + 1 });
   const decoded = decodeEntry(entry);
--- a/tests/log/LogFollower.test.ts
+++ b/tests/log/LogFollower.test.ts
@@ -76,9 +76,9 @@
   });
 
   it('goes on from a snapshot when the retention has passed while it was away', async () => {
-    // An operator's drain order is forgotten by one instance, which sends work to the VM.
-    // The instance was cut off for longer than the log keeps records.
-    // Cause: reading on from the first record kept would skip the order.
+    // Failure: one instance misses an operator's drain order and sends work to the VM.
+    // The instance was disconnected for longer than the log keeps records, and continuing from
+    // the first record kept would skip the order.
     const { log, follower, tables, events } = setUp();
     await log.append('control', drainRecords(0, 5));
     follower.start();
--- a/tests/log/LogWriter.test.ts
+++ b/tests/log/LogWriter.test.ts
@@ -40,9 +40,9 @@
     });
 
     it('applies a record once whose append answers were lost', async () => {
-      // An operator's order is appended, the answer is lost, and the order is appended again.
-      // It would show twice in the state, or the operator would be told that it failed.
-      // Cause: the platform's answer gets lost after the append has taken effect.
+      // Failure: an operator's order is applied twice, or the operator is told that it failed.
+      // The platform's response is lost after the append has taken effect, and the order is
+      // appended again.
       const { log, drain, tables, follower } = setUp('lose-answer', false);
       log.appendFaultCount = 2;
       const written = drain('vm-1');
@@ -53,8 +53,8 @@
       expect(tables.drains.size).toBe(1);
     });
 
-    // Story: under load every instance appends as fast as the log answers, and all together they
-    // take more than the platform's log can.
+    // Failure: under load every instance appends as fast as the log answers, and all instances
+    // together exceed the capacity of the platform's log.
     it('keeps a gap between appends, and puts what comes meanwhile into one', async () => {
       const { log, drain } = setUp('none', true, 300);
       await drain('vm-1');
--- a/tests/log/applyEntry.test.ts
+++ b/tests/log/applyEntry.test.ts
@@ -30,7 +30,7 @@
   return { type: 'step-intended', wave: 'w', vm, ...by, bootId };
 }
 
-/** Lets `b` take the pool over after `a` has lapsed. */
+/** Makes `a` lapse and `b` claim the pool. */
 function takeOver(folder: Folder): void {
   const observedRenewalOffset = folder.tables.instances.getOrThrow('a').renewalOffset;
   folder.apply({ type: 'instance-lapsed', instance: 'a', observedRenewalOffset, by: 'b' });
@@ -66,9 +66,9 @@
 
   describe('settings', () => {
     it('accepts one of two publications at once and tells the other what is in force', () => {
-      // Two operators read version 1 and publish; one would undo the other's change unseen.
-      // Both records reach the log, one after the other.
-      // Cause: neither could know of the other when it was appended.
+      // Failure: one operator undoes another's change without noticing it.
+      // Both read version 1 and publish concurrently; neither could know of the other publication
+      // when its own was appended.
       const folder = new Folder();
       folder.apply(publication('wiki', ['saves']));
       expect(folder.apply(publication('wiki', ['saves', 'ann'], 1, 'ann')).type).toBe('accepted');
@@ -115,8 +115,8 @@
     });
 
     it('never gives a term twice to a pool that was withdrawn and published again', () => {
-      // A pool is withdrawn and published anew; its former home thaws and decides for it.
-      // Cause: the new home would hold the same term as the frozen one.
+      // Failure: a former home resumes after a freeze and makes decisions for a pool that was
+      // withdrawn and published again, because the new home holds the same term.
       const folder = createHeld();
       folder.apply(publication('wiki', ['exports'], 1));
       expect(folder.tables.homes.has(POOL)).toBe(true);
@@ -230,8 +230,8 @@
     });
 
     it('keeps the boot from before the first attempt when a successor repeats a step', () => {
-      // A home dies right after it told a VM to reboot; its successor reboots the VM again.
-      // Cause: the successor sees the new boot and takes it for the one before the step.
+      // Failure: a home dies right after it told a VM to reboot, and its successor reboots the VM
+      // again because it mistakes the new boot for the one before the step.
       const folder = createHeld();
       folder.apply(adopt('vm-1'));
       folder.apply(start('w'));
@@ -250,9 +250,9 @@
 
   describe('claims', () => {
     it('rejects the claims of a home that was frozen past its lease', () => {
-      // A page save runs twice: once through the new home, once through the old one.
-      // The old home froze before its claim was appended and thaws after the takeover.
-      // Cause: it still believes that it holds the pool.
+      // Failure: a page save runs twice, through the new home and through the old one.
+      // The old home froze before its claim was appended, resumes after the takeover and still
+      // acts as the home of the pool.
       const folder = createHeld();
       takeOver(folder);
       expect(folder.reasonOf(claimRecord(['save-1']))).toBe(
@@ -290,9 +290,9 @@
     });
 
     it('passes over a late "not run" of an earlier claim of a request that runs now', () => {
-      // A save that runs is shown as not run, is repeated by its caller and runs twice.
-      // Its first claim was settled as not run twice, because the first answer was lost.
-      // Cause: the first settlement reaches the log after the request was claimed again.
+      // Failure: a running save is reported as not run, is repeated by its caller and runs twice.
+      // The first claim was settled as not run twice because the first response was lost, and the
+      // first settlement reaches the log after the request was claimed again.
       const folder = createHeld();
       const settleAs = (claimedOffset: number | undefined): void => {
         const settlements = [{ requestId: 'save-1', outcome: 'not-run', claimedOffset } as const];
@@ -311,8 +311,8 @@
     });
 
     it('forgets claims by the clocks of the writers, not by one that is far ahead', () => {
-      // A repeated save runs twice because every instance has forgotten its claim.
-      // Cause: the wall clock of one writer is a year ahead.
+      // Failure: a repeated save runs twice because every instance has deleted its claim.
+      // The wall clock of one writer is a year ahead.
       const folder = createHeld();
       const claim = { pool: 'wiki/exports', instance: 'b', expectedTerm: 0 };
       folder.apply({ type: 'home-claimed', ...claim });
--- a/tests/log/fold.property.test.ts
+++ b/tests/log/fold.property.test.ts
@@ -92,7 +92,7 @@
       }),
       RUNS,
     );
-    // Each kind of record was accepted in some run, or the checks above would prove nothing.
+    // The checks above prove something only if each type of record was accepted in some run.
     expect([...acceptedTypes].sort()).toEqual([...TYPES].sort());
   });
 });
--- a/tests/log/snapshot.test.ts
+++ b/tests/log/snapshot.test.ts
@@ -87,9 +87,9 @@
 
 describe('loadLatestSnapshot', () => {
   it('passes over half a snapshot and one whose checksum fails', async () => {
-    // A new instance starts and shows settings from some time ago, mixed with newer ones.
-    // The writer of a snapshot died half-way; a part of another one arrived changed.
-    // Cause: what stands on the stream is not one whole state.
+    // Failure: a new instance starts with outdated settings mixed with newer ones.
+    // The writer of one snapshot died before it was complete, and a part of another one was
+    // altered, so neither is a consistent state.
     const { log, writer, stream } = setUp();
     await writer.writeIfDue();
     const whole = await loadLatestSnapshot(log);
--- a/tests/log/support/Folder.ts
+++ b/tests/log/support/Folder.ts
@@ -2,7 +2,7 @@
 import type { RecordBody } from '../../../src/records/index.js';
 import { FleetTables } from '../../../src/tables/index.js';
 
-/** Settings of a team with the given pools, as an operator would write them. */
+/** Returns a settings document of a team with the given pools, as an operator would write it. */
 export function writeDocument(team: string, pools: readonly string[]): string {
   const pool = {
     neededSlotCount: 4,
@@ -15,7 +15,7 @@
   return JSON.stringify({ formatVersion: 1, team, pools: Object.fromEntries(entries) });
 }
 
-/** Publication of a team's pools on top of a version. */
+/** Creates a publication of a team's pools that is based on a version. */
 export function publication(
   team: string,
   pools: readonly string[],
@@ -26,13 +26,13 @@
   return { type: 'settings-published', team, baseVersion, author, document };
 }
 
-/** Join of an instance. */
+/** Creates the join of an instance. */
 export function join(instance: string): RecordBody {
   const address = { host: '127.0.0.1', peerPort: 1, callerPort: 2, dataCentre: 'north' };
   return { type: 'instance-joined', instance, ...address };
 }
 
-/** State with the records that led to it, appended one by one. */
+/** Applies records to a state, one by one. */
 export class Folder {
   readonly tables = new FleetTables();
 
@@ -44,14 +44,14 @@
     return applyEntry(this.tables, { offset: this.tables.nextOffset, payload });
   }
 
-  /** Reason of the rejection of a record, or the type of another verdict. */
+  /** Applies a record and returns the reason of its rejection, or the type of another verdict. */
   reasonOf(body: RecordBody): string {
     const verdict = this.apply(body);
     return verdict.type === 'rejected' ? verdict.reason : verdict.type;
   }
 }
 
-/** State in which instance `a` is the home of `wiki/saves` in term 1, and `b` has joined. */
+/** Creates a state in which `a` is the home of `wiki/saves` in term 1 and `b` has joined. */
 export function createHeld(): Folder {
   const folder = new Folder();
   folder.apply(publication('wiki', ['saves', 'exports']));
--- a/tests/log/support/MemoryLog.ts
+++ b/tests/log/support/MemoryLog.ts
@@ -8,33 +8,33 @@
 
 const MAX_WAIT_MS = 20;
 
-/** What happens to the next calls. */
+/** Fault that the next calls get. */
 export type Fault = 'none' | 'refuse' | 'lose-answer' | 'hang';
 
 /** Log in memory whose calls can be made to fail. */
 export class MemoryLog implements LogPort {
   appendFault: Fault = 'none';
 
-  /** Count of appends that `appendFault` still happens to. */
+  /** Number of further appends that get `appendFault`. */
   appendFaultCount = Infinity;
 
   readFault: Fault = 'none';
 
-  /** Sizes of the batches that were sent, lost ones included. */
+  /** Sizes of the batches that were sent, including failed ones. */
   readonly batchSizes: number[] = [];
 
   private readonly streams = new Map<string, LogEntry[]>();
 
   private readonly firstOffsets = new Map<string, number>();
 
-  /** Every record of a stream, those past the retention included. */
+  /** Returns all records of a stream, including those removed by the retention. */
   entriesOf(stream: string): LogEntry[] {
     const entries = this.streams.get(stream) ?? [];
     this.streams.set(stream, entries);
     return entries;
   }
 
-  /** Lets the retention pass. */
+  /** Removes the records before an offset, as the retention does. */
   truncate(stream: string, firstOffset: number): void {
     this.firstOffsets.set(stream, firstOffset);
   }
--- a/tests/log/support/RandomFleet.ts
+++ b/tests/log/support/RandomFleet.ts
@@ -32,11 +32,11 @@
   'requests-settled',
 ];
 
-/** Types that end what others need, drawn less often. */
+/** Types that end a membership or a home which other records need; generated less often. */
 const ENDING_TYPES = ['instance-left', 'instance-lapsed', 'home-released'];
 const FREQUENT_TYPES = TYPES.filter((type) => !ENDING_TYPES.includes(type));
 
-/** One append: whose, of what, and whether its writer saw the latest state. */
+/** Generates an append: its writer, its record, and whether the writer saw the latest state. */
 const moveArbitrary = fc.record({
   type: fc.constantFrom(...TYPES, ...FREQUENT_TYPES, ...FREQUENT_TYPES),
   team: fc.constantFrom(...TEAMS),
@@ -52,10 +52,10 @@
 
 type Move = typeof moveArbitrary extends fc.Arbitrary<infer Value> ? Value : never;
 
-/** Appends of several writers, interleaved at random. */
+/** Generates randomly interleaved appends of several writers. */
 export const movesArbitrary = fc.array(moveArbitrary, { minLength: 60, maxLength: 160 });
 
-/** Makes the record of a move, from what its writer saw. */
+/** Creates the record of a move from the state that its writer saw. */
 function toBody(move: Move, { tables }: Folder): RecordBody {
   const { instance: name, isFresh, stale, team, vm, wave, requestId } = move;
   const poolOfVm = isFresh ? tables.assignments.get(vm)?.pool : undefined;
@@ -120,14 +120,14 @@
   }
 }
 
-/** One appended record with what the fold decided about it. */
+/** An appended record and its verdict. */
 export interface PlayedRecord {
   readonly payload: unknown;
   readonly body: RecordBody;
   readonly verdict: ReturnType<Folder['apply']>;
 }
 
-/** Records that every play begins with: two teams, and instances that hold their pools. */
+/** Initial records of every run: two teams, and instances that are homes of their pools. */
 const OPENING: readonly RecordBody[] = [
   ...TEAMS.map((team) => publication(team, POOL_NAMES)),
   ...INSTANCES.slice(0, -1).map(join),
@@ -139,7 +139,7 @@
   })),
 ];
 
-/** Plays moves one by one; some are appended twice, as after a lost answer. */
+/** Appends the records of moves one by one, some of them twice as after a lost response. */
 export function play(moves: readonly Move[]): readonly PlayedRecord[] {
   const folder = new Folder();
   const append = (body: RecordBody, times: number): readonly PlayedRecord[] => {
--- a/tests/log/support/createInstance.ts
+++ b/tests/log/support/createInstance.ts
@@ -6,7 +6,7 @@
 
 const BACKOFF = { firstMs: 5, longestMs: 10 };
 
-/** Follower, writer and state of one instance on a log in memory. */
+/** Creates the follower, writer and state of one instance on an in-memory log. */
 export function createInstance(log: MemoryLog, name = 'a', appendGapMs = 0) {
   const tables = new FleetTables();
   const clock = new SystemClock();
--- a/tests/records/LogRecord.test.ts
+++ b/tests/records/LogRecord.test.ts
@@ -8,7 +8,7 @@
   body: { type: 'requests-claimed', pool: 'wiki/saves', instance: 'a', term: 1, claims: [] },
 };
 
-/** Path of the first fault of a record, or undefined where it is sound. */
+/** Returns the path of the first fault of a record, or undefined if it is valid. */
 function faultOf(record: unknown): string | undefined {
   return logRecordSchema.safeParse(record).error?.issues[0]?.path.join('.');
 }
