--- a/src/daemon/Daemon.ts
+++ b/src/daemon/Daemon.ts
@@ -71,7 +71,7 @@
     const { config, events } = this.options;
     events.write('daemonStopping', { unfinishedCount: this.parts.entry.unfinishedCount });
     const deadlineMs = this.parts.clock.monotonicMs() + config.stopWaitMs;
-    this.parts.entry.stopTakingJobs();
+    this.parts.entry.stopAcceptingJobs();
     const closing = this.server?.close();
     // Failure: the last instance gives its homes up first, and then waits in vain for a home that
     // takes the outcomes of its jobs. With nobody to hand over to, it keeps them to the end.
--- a/src/daemon/InstanceParts.ts
+++ b/src/daemon/InstanceParts.ts
@@ -3,7 +3,7 @@
 import {
   Entry,
   FinishReporter,
-  GrantKeeper,
+  GrantRenewer,
   HomeRouter,
   NotRunCheck,
   RetryBudget,
@@ -65,7 +65,7 @@
 
   readonly directory: VmDirectory;
 
-  readonly keeper: GrantKeeper;
+  readonly keeper: GrantRenewer;
 
   readonly reporter: FinishReporter;
 
@@ -119,7 +119,7 @@
     const endReader = new LogEndReader({ log, stream: CONTROL_STREAM, fleet, follower });
     const readToEnd = endReader.read.bind(endReader);
     this.notRunCheck = new NotRunCheck({ instance, fleet, readToEnd });
-    this.keeper = new GrantKeeper({ router, targets, clock });
+    this.keeper = new GrantRenewer({ router, targets, clock });
     this.reporter = new FinishReporter({ router, clock });
     this.entry = this.createEntry(router);
     this.homes = this.createHomes();
@@ -160,8 +160,8 @@
     const { instance, events, metrics } = this.options;
     const { clock, fleet, peers, targets, keeper, reporter, notRunCheck } = this;
     const retryBudget = new RetryBudget({
-      earnedPerRequest: RETRIES_PER_REQUEST,
-      maxSavedCount: MAX_SAVED_RETRY_COUNT,
+      retriesPerRequest: RETRIES_PER_REQUEST,
+      maxRetryCount: MAX_SAVED_RETRY_COUNT,
     });
     const createAttemptId = (): string => {
       this.attemptNumber += 1;
--- a/src/daemon/createPeerHandler.ts
+++ b/src/daemon/createPeerHandler.ts
@@ -1,4 +1,4 @@
-import type { Entry, GrantKeeper } from '../entry/index.js';
+import type { Entry, GrantRenewer } from '../entry/index.js';
 import type { PoolHome } from '../home/index.js';
 import type { LogFollower } from '../log/index.js';
 import type { GrantRequest, PeerHandler, PeerReply, PeerRequest } from '../peers/index.js';
@@ -9,7 +9,7 @@
   readonly getHome: (pool: string) => PoolHome | undefined;
   /** Opens a stand-in for a pool's home, or gives undefined where the log answers. */
   readonly openStandIn: (pool: string) => Promise<PoolHome | undefined>;
-  readonly keeper: Pick<GrantKeeper, 'list'>;
+  readonly keeper: Pick<GrantRenewer, 'list'>;
   readonly entry: () => Pick<Entry, 'getJob' | 'cancelJob'>;
   readonly follower: Pick<LogFollower, 'offer'>;
   readonly readRecentEntries: (fromOffset: number, maxCount: number) => PeerReply;
--- a/src/entry/Entry.ts
+++ b/src/entry/Entry.ts
@@ -27,7 +27,7 @@
 }
 
 const MAX_STORED_JOB_COUNT = 1_000;
-const PEER_WAIT_MS = 3_000;
+const PEER_TIMEOUT_MS = 3_000;
 const JOB_ID_SEPARATOR = '~';
 
 function parseJobState(reply: PeerReply): JobState {
@@ -39,15 +39,15 @@
   );
 }
 
-function outcomeOf(answer: JobAnswer): 'run' | 'not-run' | 'unknown' {
+function getOutcome(answer: JobAnswer): 'run' | 'not-run' | 'unknown' {
   return answer.type === 'answered' ? 'run' : answer.outcome;
 }
 
-function throwPending(kind: ErrorKind | undefined): never {
+function throwRepeat(kind: ErrorKind | undefined): never {
   return throwError(kind ?? 'already-running', 'This instance has already received this request.');
 }
 
-function whenComplete(answer: JobAnswer, action: () => void): void {
+function onAnswerComplete(answer: JobAnswer, action: () => void): void {
   if (answer.type === 'failed') action();
   else finished(answer.body, action);
 }
@@ -59,11 +59,11 @@
   private readonly store: JobStore;
 
   /** Ids of the non-idempotent requests in progress at this instance. */
-  private readonly underWay = new Set<string>();
+  private readonly inProgressRequestIds = new Set<string>();
 
   private runningCount = 0;
 
-  private jobNumber = 0;
+  private lastJobNumber = 0;
 
   private isStopping = false;
 
@@ -83,7 +83,7 @@
   }
 
   /** Refuses new jobs from now on; jobs in progress run to completion. */
-  stopTakingJobs(): void {
+  stopAcceptingJobs(): void {
     this.isStopping = true;
   }
 
@@ -99,13 +99,13 @@
     const { requestId, pool, jobKind } = submission;
     events.write('requestReceived', { requestId, pool, jobKind });
     this.runningCount += 1;
-    const answer = await this.runChecked(submission);
-    whenComplete(answer, () => {
+    const answer = await this.runAndCheckOutcome(submission);
+    onAnswerComplete(answer, () => {
       this.runningCount -= 1;
     });
     const tookMs = Math.round(clock.monotonicMs() - startedAtMs);
     metrics.timing('request_ms', tookMs);
-    metrics.increment('requests_answered', { outcome: outcomeOf(answer) });
+    metrics.increment('requests_answered', { outcome: getOutcome(answer) });
     this.logAnswer(answer, pool, tookMs);
     return answer;
   }
@@ -114,8 +114,8 @@
   async submit(submission: JobSubmission): Promise<JobState> {
     this.createJobOrThrow(submission);
     const { requestId, pool } = submission;
-    this.jobNumber += 1;
-    const jobId = `${this.options.context.instance}${JOB_ID_SEPARATOR}${this.jobNumber}`;
+    this.lastJobNumber += 1;
+    const jobId = `${this.options.context.instance}${JOB_ID_SEPARATOR}${this.lastJobNumber}`;
     const job = this.store.add({ jobId, requestId, pool, phase: 'running' });
     void this.run({ ...submission, signal: job.abort.signal }).then((answer) =>
       this.store.finish(jobId, answer),
@@ -126,22 +126,22 @@
   /** {@inheritDoc EntryPort.getJob} */
   async getJob(jobId: string): Promise<JobState> {
     if (this.ownsJob(jobId)) return this.store.getOrThrow(jobId).state;
-    return this.askOwner(jobId, 'get-job');
+    return this.callOwner(jobId, 'get-job');
   }
 
   /** {@inheritDoc EntryPort.cancelJob} */
   async cancelJob(jobId: string): Promise<JobState> {
-    if (!this.ownsJob(jobId)) return this.askOwner(jobId, 'cancel-job');
+    if (!this.ownsJob(jobId)) return this.callOwner(jobId, 'cancel-job');
     const job = this.store.getOrThrow(jobId);
     job.abort.abort();
     return job.state;
   }
 
-  private async runChecked(submission: JobSubmission): Promise<JobAnswer> {
+  private async runAndCheckOutcome(submission: JobSubmission): Promise<JobAnswer> {
     try {
       const job = this.createJobOrThrow(submission);
       if (job.idempotent) return await this.runJob(job, submission.signal);
-      const answer = await this.runOnce(job, submission.signal);
+      const answer = await this.runAtMostOnce(job, submission.signal);
       return answer.type === 'failed' ? await this.checkNotRun(answer, submission) : answer;
     } catch (thrown) {
       const error = toRattanliftError(thrown);
@@ -179,14 +179,14 @@
    * ended with an outcome that is not recorded in the log yet. The claim belongs to this instance,
    * so the pool's home would accept the repeat.
    */
-  private async runOnce(job: Job, signal: AbortSignal): Promise<JobAnswer> {
+  private async runAtMostOnce(job: Job, signal: AbortSignal): Promise<JobAnswer> {
     const { requestId } = job;
     const pending = this.options.context.reporter.getPending(requestId);
-    if (pending !== undefined) throwPending(pending.outcome === 'run' ? 'already-run' : undefined);
-    if (this.underWay.has(requestId)) throwPending(undefined);
-    this.underWay.add(requestId);
+    if (pending !== undefined) throwRepeat(pending.outcome === 'run' ? 'already-run' : undefined);
+    if (this.inProgressRequestIds.has(requestId)) throwRepeat(undefined);
+    this.inProgressRequestIds.add(requestId);
     const answer = await this.runJob(job, signal);
-    whenComplete(answer, () => this.underWay.delete(requestId));
+    onAnswerComplete(answer, () => this.inProgressRequestIds.delete(requestId));
     return answer;
   }
 
@@ -200,21 +200,21 @@
     return jobId.startsWith(`${this.options.context.instance}${JOB_ID_SEPARATOR}`);
   }
 
-  private async askOwner(jobId: string, type: 'get-job' | 'cancel-job'): Promise<JobState> {
+  private async callOwner(jobId: string, type: 'get-job' | 'cancel-job'): Promise<JobState> {
     const owner = jobId.slice(0, jobId.lastIndexOf(JOB_ID_SEPARATOR));
     const row = this.options.fleet.instances.get(owner);
     if (row === undefined || row.state !== 'joined') {
       return throwError('unknown-job', `No joined instance owns the job ${jobId}.`);
     }
     const address = { instance: row.instance, host: row.host, port: row.peerPort };
-    const reply = await this.options.peers.call(address, { type, jobId }, PEER_WAIT_MS);
+    const reply = await this.options.peers.call(address, { type, jobId }, PEER_TIMEOUT_MS);
     return parseJobState(reply);
   }
 
   private logAnswer(answer: JobAnswer, pool: string, tookMs: number): void {
     const { events } = this.options.context;
     const { requestId } = answer;
-    const outcome = outcomeOf(answer);
+    const outcome = getOutcome(answer);
     if (answer.type === 'answered') {
       const { vm, httpStatus } = answer;
       events.write('requestAnswered', { requestId, pool, vm, httpStatus, outcome, tookMs });
--- a/src/entry/FinishReporter.ts
+++ b/src/entry/FinishReporter.ts
@@ -17,10 +17,10 @@
   readonly giveUpAtMs: number;
 }
 
-const REPORT_WAIT_MS = 4_000;
-const REPEAT_AFTER_MS = 1_000;
+const REPORT_TIMEOUT_MS = 4_000;
+const RETRY_DELAY_MS = 1_000;
 /** How long the settlement of a claim is retried; without it, repeats cannot get the outcome. */
-const CLAIMED_KEPT_MS = 3_600_000;
+const CLAIM_RETRY_WINDOW_MS = 3_600_000;
 
 /** Reports to homes how grants ended; retries across changes of home and outages of the log. */
 export class FinishReporter {
@@ -50,7 +50,7 @@
    */
   report(report: FinishReport): void {
     const nowMs = this.options.clock.monotonicMs();
-    const giveUpAtMs = nowMs + (report.isClaimed ? CLAIMED_KEPT_MS : REPORT_WAIT_MS);
+    const giveUpAtMs = nowMs + (report.isClaimed ? CLAIM_RETRY_WINDOW_MS : REPORT_TIMEOUT_MS);
     this.pending.set(report.grantId, { report, sendAtMs: nowMs, giveUpAtMs });
     this.tick();
   }
@@ -61,8 +61,8 @@
    * @returns The report, or undefined if none is pending.
    */
   getPending(requestId: string): FinishReport | undefined {
-    const all = Array.from(this.pending.values());
-    return all.find(({ report }) => report.requestId === requestId)?.report;
+    const pendingReports = Array.from(this.pending.values());
+    return pendingReports.find(({ report }) => report.requestId === requestId)?.report;
   }
 
   /** Sends the reports that are due. */
@@ -78,13 +78,13 @@
   private async send(pending: PendingReport): Promise<void> {
     const { report } = pending;
     const reply = await this.options.router
-      .ask(report.pool, report, REPORT_WAIT_MS)
+      .call(report.pool, report, REPORT_TIMEOUT_MS)
       .catch(() => undefined);
     const nowMs = this.options.clock.monotonicMs();
     if (reply?.type === 'done' || nowMs >= pending.giveUpAtMs) {
       this.pending.delete(report.grantId);
       return;
     }
-    this.pending.set(report.grantId, { ...pending, sendAtMs: nowMs + REPEAT_AFTER_MS });
+    this.pending.set(report.grantId, { ...pending, sendAtMs: nowMs + RETRY_DELAY_MS });
   }
 }
--- a/src/entry/GrantKeeper.ts
+++ b/src/entry/GrantRenewer.ts
@@ -11,8 +11,8 @@
   readonly onLost: () => void;
 }
 
-/** Options of {@link GrantKeeper}. */
-export interface GrantKeeperOptions {
+/** Options of {@link GrantRenewer}. */
+export interface GrantRenewerOptions {
   readonly router: Pick<HomeRouter, 'ask'>;
   readonly targets: Pick<TargetPort, 'renewLease'>;
   readonly clock: Clock;
@@ -20,28 +20,28 @@
 
 /** How long a target's lease for a task lasts after each renewal. */
 export const TASK_LEASE_MS = 15_000;
-const RENEW_EVERY_MS = 2_000;
-const RENEW_WAIT_MS = 1_500;
+const RENEWAL_INTERVAL_MS = 2_000;
+const RENEWAL_TIMEOUT_MS = 1_500;
 /** Consecutive failed renewals after which a task counts as lost. */
-const MAX_MISSED_COUNT = 3;
+const MAX_FAILED_RENEWAL_COUNT = 3;
 
 /** Renews the grants and task leases that this instance uses. */
-export class GrantKeeper {
-  private readonly options: GrantKeeperOptions;
+export class GrantRenewer {
+  private readonly options: GrantRenewerOptions;
 
   private readonly grants = new Map<string, UsedGrant>();
 
-  private readonly missedCounts = new Map<string, number>();
+  private readonly failedRenewalCounts = new Map<string, number>();
 
   private readonly renewals = new KeyedOnce();
 
-  private renewAtMs = Number.NEGATIVE_INFINITY;
+  private nextRenewalAtMs = Number.NEGATIVE_INFINITY;
 
   /**
    * Creates a renewer without grants.
    * @param options - Router to the homes, port to the targets, and clock.
    */
-  constructor(options: GrantKeeperOptions) {
+  constructor(options: GrantRenewerOptions) {
     this.options = options;
   }
 
@@ -64,7 +64,7 @@
    */
   remove(grantId: string): void {
     this.grants.delete(grantId);
-    this.missedCounts.delete(grantId);
+    this.failedRenewalCounts.delete(grantId);
   }
 
   /**
@@ -90,8 +90,8 @@
   /** Renews all grants and task leases if a renewal is due. */
   tick(): void {
     const nowMs = this.options.clock.monotonicMs();
-    if (nowMs < this.renewAtMs) return;
-    this.renewAtMs = nowMs + RENEW_EVERY_MS;
+    if (nowMs < this.nextRenewalAtMs) return;
+    this.nextRenewalAtMs = nowMs + RENEWAL_INTERVAL_MS;
     const grants = this.listAll();
     Array.from(new Set(grants.map((grant) => grant.pool))).forEach((pool) => {
       this.renewals.start(`pool ${pool}`, () => this.renewAtHome(pool));
@@ -108,7 +108,7 @@
   private async renewAtHome(pool: string): Promise<void> {
     const grantIds = this.list(pool).map((grant) => grant.grantId);
     const request: PeerRequest = { type: 'renew-grants', pool, grantIds };
-    await this.options.router.ask(pool, request, RENEW_WAIT_MS).catch(() => undefined);
+    await this.options.router.call(pool, request, RENEWAL_TIMEOUT_MS).catch(() => undefined);
   }
 
   /**
@@ -123,8 +123,8 @@
     const leaseDeadlineMs = clock.wallMs() + TASK_LEASE_MS;
     const isRenewed = await targets.renewLease(grant.target, grant.grantId, leaseDeadlineMs);
     if (!this.grants.has(grant.grantId)) return;
-    const missedCount = isRenewed ? 0 : (this.missedCounts.get(grant.grantId) ?? 0) + 1;
-    this.missedCounts.set(grant.grantId, missedCount);
-    if (missedCount >= MAX_MISSED_COUNT) grant.onLost();
+    const failedCount = isRenewed ? 0 : (this.failedRenewalCounts.get(grant.grantId) ?? 0) + 1;
+    this.failedRenewalCounts.set(grant.grantId, failedCount);
+    if (failedCount >= MAX_FAILED_RENEWAL_COUNT) grant.onLost();
   }
 }
--- a/src/entry/GrantAsker.ts
+++ b/src/entry/GrantRequester.ts
@@ -5,8 +5,8 @@
 import type { HomeRouter } from './HomeRouter.js';
 import type { Job } from './Job.js';
 
-/** Options of {@link GrantAsker}. */
-export interface GrantAskerOptions {
+/** Options of {@link GrantRequester}. */
+export interface GrantRequesterOptions {
   readonly job: Job;
   readonly router: Pick<HomeRouter, 'ask'>;
   readonly clock: Clock;
@@ -15,17 +15,17 @@
 }
 
 /** Time past the caller's deadline for which the home's reply is awaited. */
-const HOME_GRACE_MS = 500;
+const HOME_REPLY_GRACE_MS = 500;
 
 /** Requests grants from the home of a job's pool, and returns unused grants. */
-export class GrantAsker {
-  private readonly options: GrantAskerOptions;
+export class GrantRequester {
+  private readonly options: GrantRequesterOptions;
 
   /**
    * Creates a requester for one job.
    * @param options - The job and the router to its home.
    */
-  constructor(options: GrantAskerOptions) {
+  constructor(options: GrantRequesterOptions) {
     this.options = options;
   }
 
@@ -35,17 +35,17 @@
    * @param excludedVms - VMs that already failed the job.
    * @returns The home's reply, or the error that prevented it; the promise never rejects.
    */
-  async ask(
+  async requestGrant(
     attemptId: string,
     excludedVms: readonly string[],
   ): Promise<PeerReply | RattanliftError> {
     const { job, clock, router, signal } = this.options;
-    const waitMs = Math.max(0, job.deadlineAtMs - clock.wallMs()) + HOME_GRACE_MS;
+    const waitMs = Math.max(0, job.deadlineAtMs - clock.wallMs()) + HOME_REPLY_GRACE_MS;
     const withdraw = (): void => this.withdraw(attemptId);
     signal.addEventListener('abort', withdraw, { once: true });
     try {
       const request = createGrantRequest(job, attemptId, excludedVms);
-      return await router.ask(job.pool, request, waitMs);
+      return await router.call(job.pool, request, waitMs);
     } catch (thrown) {
       return toRattanliftError(thrown, 'home-unavailable');
     } finally {
@@ -61,6 +61,6 @@
     const { job, router } = this.options;
     const { pool } = job;
     const request = { type: 'cancel-request', pool, attemptId } as const;
-    void router.ask(pool, request, HOME_GRACE_MS).catch(() => undefined);
+    void router.call(pool, request, HOME_REPLY_GRACE_MS).catch(() => undefined);
   }
 }
--- a/src/entry/HomeRouter.ts
+++ b/src/entry/HomeRouter.ts
@@ -58,14 +58,14 @@
    * @throws RattanliftError Of kind `home-unavailable` if the pool has no home, so the request was
    * certainly not handled, or `peer-unavailable` if no reply came, so the home may have acted.
    */
-  async ask(pool: string, request: PeerRequest, waitMs: number): Promise<PeerReply> {
+  async call(pool: string, request: PeerRequest, waitMs: number): Promise<PeerReply> {
     const standIn = this.findStandIn(pool);
     try {
-      return await this.askInstance(standIn ?? this.getHomeOrThrow(pool), request, waitMs);
+      return await this.callInstance(standIn ?? this.getHomeOrThrow(pool), request, waitMs);
     } catch (thrown) {
       if (standIn !== undefined) this.standIns.delete(pool);
       if (!this.mayUseStandIn(request)) throw thrown;
-      return this.askStandIns(pool, request, waitMs, thrown);
+      return this.callStandIns(pool, request, waitMs, thrown);
     }
   }
 
@@ -73,7 +73,7 @@
     return this.getHome(pool) ?? throwError('home-unavailable', `Pool ${pool} has no home now.`);
   }
 
-  private askInstance(row: InstanceRow, request: PeerRequest, waitMs: number): Promise<PeerReply> {
+  private callInstance(row: InstanceRow, request: PeerRequest, waitMs: number): Promise<PeerReply> {
     const { instance, handleLocally, peers } = this.options;
     if (row.instance === instance) return handleLocally(instance, request);
     const address = { instance: row.instance, host: row.host, port: row.peerPort };
@@ -91,7 +91,7 @@
     return request.type === 'request-grant' && request.idempotent && this.options.isLogOut();
   }
 
-  private async askStandIns(
+  private async callStandIns(
     pool: string,
     request: PeerRequest,
     waitMs: number,
@@ -99,24 +99,24 @@
   ): Promise<PeerReply> {
     const { fleet } = this.options;
     const home = fleet.homes.get(pool);
-    const names = fleet.instances
+    const instances = fleet.instances
       .list()
       .filter((row) => row.state === 'joined' && row.instance !== home?.instance)
       .map((row) => row.instance);
-    const candidates = rankByRendezvous(pool, names).slice(0, MAX_CANDIDATE_COUNT);
-    const askFrom = async (index: number, thrown: unknown): Promise<PeerReply> => {
+    const candidates = rankByRendezvous(pool, instances).slice(0, MAX_CANDIDATE_COUNT);
+    const callCandidate = async (index: number, thrown: unknown): Promise<PeerReply> => {
       const instance = candidates[index];
       if (instance === undefined) throw thrown;
       try {
         const row = fleet.instances.getOrThrow(instance);
-        const reply = await this.askInstance(row, request, waitMs);
+        const reply = await this.callInstance(row, request, waitMs);
         this.standIns.set(pool, { instance, term: home?.term ?? 0 });
         return reply;
       } catch (next) {
-        return askFrom(index + 1, next);
+        return callCandidate(index + 1, next);
       }
     };
-    return askFrom(0, cause);
+    return callCandidate(0, cause);
   }
 
   private findStandIn(pool: string): InstanceRow | undefined {
--- a/src/entry/GrantReports.ts
+++ b/src/entry/JobGrantReporter.ts
@@ -1,19 +1,19 @@
 import type { Outcome } from '../errors/index.js';
 import type { GrantReply, GrantResult } from '../peers/index.js';
 import type { FinishReport, FinishReporter } from './FinishReporter.js';
-import type { GrantKeeper } from './GrantKeeper.js';
+import type { GrantRenewer } from './GrantRenewer.js';
 import type { Job } from './Job.js';
 
-/** Options of {@link GrantReports}. */
-export interface GrantReportsOptions {
+/** Options of {@link JobGrantReporter}. */
+export interface JobGrantReporterOptions {
   readonly job: Pick<Job, 'requestId' | 'pool' | 'jobKind' | 'idempotent'>;
-  readonly keeper: Pick<GrantKeeper, 'remove'>;
+  readonly grantRenewer: Pick<GrantRenewer, 'remove'>;
   readonly reporter: Pick<FinishReporter, 'report'>;
 }
 
 /** Reports to the home how the grants of one job ended, and settles the job's claim once. */
-export class GrantReports {
-  private readonly options: GrantReportsOptions;
+export class JobGrantReporter {
+  private readonly options: JobGrantReporterOptions;
 
   /** Whether the log may contain an open claim of this instance for the request. */
   private isClaimed = false;
@@ -24,7 +24,7 @@
    * Creates a reporter for a job that has no grant yet.
    * @param options - The job, the renewer of its grants, and the reporter to the homes.
    */
-  constructor(options: GrantReportsOptions) {
+  constructor(options: JobGrantReporterOptions) {
     this.options = options;
   }
 
@@ -32,7 +32,7 @@
    * Records a grant. The home has claimed the request if it must run at most once.
    * @param grant - The grant.
    */
-  noteGranted(grant: GrantReply): void {
+  recordGrant(grant: GrantReply): void {
     this.isClaimed ||= !this.options.job.idempotent;
     this.lastVm = grant.vm;
   }
@@ -45,7 +45,7 @@
    * @param ranMs - How long it ran, in milliseconds.
    */
   endGrant(grant: GrantReply, result: GrantResult, outcome: Outcome, ranMs: number): void {
-    this.options.keeper.remove(grant.grantId);
+    this.options.grantRenewer.remove(grant.grantId);
     const { grantId } = grant;
     this.sendReport({ grantId, result, outcome, ranMs, isClaimed: this.isClaimed });
     this.isClaimed = false;
@@ -76,10 +76,10 @@
   }
 
   private sendReport(
-    end: Pick<FinishReport, 'grantId' | 'result' | 'outcome' | 'ranMs' | 'isClaimed'>,
+    ending: Pick<FinishReport, 'grantId' | 'result' | 'outcome' | 'ranMs' | 'isClaimed'>,
   ): void {
     const { requestId, pool, jobKind } = this.options.job;
     const vm = this.lastVm;
-    this.options.reporter.report({ type: 'finish-grant', pool, requestId, jobKind, vm, ...end });
+    this.options.reporter.report({ type: 'finish-grant', pool, requestId, jobKind, vm, ...ending });
   }
 }
--- a/src/entry/JobRun.ts
+++ b/src/entry/JobRun.ts
@@ -9,11 +9,11 @@
 import { assertNever, type Clock } from '../utils/index.js';
 import { createTaskRequest } from './createTaskRequest.js';
 import { createUsedGrant } from './createUsedGrant.js';
-import { findStrongest } from './findStrongest.js';
+import { findStrongestOutcome } from './findStrongestOutcome.js';
 import type { FinishReporter } from './FinishReporter.js';
-import { GrantAsker } from './GrantAsker.js';
-import type { GrantKeeper } from './GrantKeeper.js';
-import { GrantReports } from './GrantReports.js';
+import { GrantRequester } from './GrantRequester.js';
+import type { GrantRenewer } from './GrantRenewer.js';
+import { JobGrantReporter } from './JobGrantReporter.js';
 import type { HomeRouter } from './HomeRouter.js';
 import type { Job } from './Job.js';
 import type { RetryBudget } from './RetryBudget.js';
@@ -22,7 +22,7 @@
 export interface JobRunContext {
   readonly instance: string;
   readonly router: HomeRouter;
-  readonly keeper: GrantKeeper;
+  readonly grantRenewer: GrantRenewer;
   readonly reporter: FinishReporter;
   readonly targets: TargetPort;
   readonly retryBudget: RetryBudget;
@@ -35,7 +35,7 @@
   readonly waitForHome: (pool: string, signal: AbortSignal) => Promise<void>;
 }
 
-type Answering = Extract<TaskResult, { readonly type: 'answering' }>;
+type AnsweringResult = Extract<TaskResult, { readonly type: 'answering' }>;
 
 type AttemptEnd =
   | { readonly type: 'final'; readonly answer: JobAnswer }
@@ -43,7 +43,7 @@
 
 const MAX_ATTEMPT_COUNT = 4;
 /** Safety margin before a grant's end; within it, nothing is sent to the target. */
-const GRANT_MARGIN_MS = 500;
+const GRANT_SAFETY_MARGIN_MS = 500;
 /** How long a request waits for a pool that has no home. */
 const HOME_WAIT_MS = 2_000;
 const SERVER_ERROR_STATUS = 500;
@@ -61,14 +61,14 @@
 
   private readonly signal: AbortSignal;
 
-  private readonly asker: GrantAsker;
+  private readonly grantRequester: GrantRequester;
 
-  private readonly reports: GrantReports;
+  private readonly jobReporter: JobGrantReporter;
 
   /** Monotonic time after which the run stops waiting for a pool without a home. */
   private readonly homeWaitEndsAtMs: number;
 
-  /** Strongest outcome of the earlier attempts, see {@link findStrongest}. */
+  /** Strongest outcome of the earlier attempts, see {@link findStrongestOutcome}. */
   private earlierOutcome: Outcome = 'not-run';
 
   private lastAttemptId = '';
@@ -83,9 +83,9 @@
     this.context = context;
     this.job = job;
     this.signal = signal;
-    const { clock, keeper, reporter, router } = context;
-    this.asker = new GrantAsker({ job, router, clock, signal });
-    this.reports = new GrantReports({ job, keeper, reporter });
+    const { clock, grantRenewer: grantRenewer, reporter, router } = context;
+    this.grantRequester = new GrantRequester({ job, router, clock, signal });
+    this.jobReporter = new JobGrantReporter({ job, grantRenewer: grantRenewer, reporter });
     this.homeWaitEndsAtMs = clock.monotonicMs() + HOME_WAIT_MS;
   }
 
@@ -94,13 +94,13 @@
    * @returns The final answer; the promise never rejects.
    */
   async run(): Promise<JobAnswer> {
-    this.context.retryBudget.earn();
-    const answer = await this.attemptFrom(1, []);
-    if (answer.type === 'failed') this.reports.settle(this.lastAttemptId, answer.outcome);
+    this.context.retryBudget.deposit();
+    const answer = await this.runAttempts(1, []);
+    if (answer.type === 'failed') this.jobReporter.settle(this.lastAttemptId, answer.outcome);
     return answer;
   }
 
-  private async attemptFrom(
+  private async runAttempts(
     attemptNumber: number,
     excludedVms: readonly string[],
   ): Promise<JobAnswer> {
@@ -112,30 +112,30 @@
     // does not count as a retry, which could overload a target.
     if (end.error.kind === 'home-unavailable') {
       if (clock.monotonicMs() >= this.homeWaitEndsAtMs) return this.fail(end.error);
-      return this.attemptFrom(attemptNumber, excludedVms);
+      return this.runAttempts(attemptNumber, excludedVms);
     }
-    if (attemptNumber >= MAX_ATTEMPT_COUNT || !retryBudget.spend()) return this.fail(end.error);
+    if (attemptNumber >= MAX_ATTEMPT_COUNT || !retryBudget.withdraw()) return this.fail(end.error);
     const { requestId, pool } = this.job;
     events.write('requestRetried', { requestId, pool, reason: end.error.message, attemptNumber });
     metrics.increment('retries');
     const nextExcluded = end.excludedVm ? [...excludedVms, end.excludedVm] : excludedVms;
-    return this.attemptFrom(attemptNumber + 1, nextExcluded);
+    return this.runAttempts(attemptNumber + 1, nextExcluded);
   }
 
   private async attempt(excludedVms: readonly string[]): Promise<AttemptEnd> {
     if (this.signal.aborted) return this.endByAbort('not-run');
     const { clock } = this.context;
     this.lastAttemptId = this.context.createAttemptId(this.job.requestId);
-    const askedAtMs = clock.monotonicMs();
-    const reply = await this.asker.ask(this.lastAttemptId, excludedVms);
+    const requestedAtMs = clock.monotonicMs();
+    const reply = await this.grantRequester.requestGrant(this.lastAttemptId, excludedVms);
     if (reply instanceof RattanliftError) return this.endWithoutReply(reply);
     if (reply.type !== 'granted') return this.endByRefusal(reply);
-    this.reports.noteGranted(reply);
+    this.jobReporter.recordGrant(reply);
     // If this process was paused, or the reply was delayed, the slot may belong to another request
     // by now. This deadline counts from before the request, so it ends before the home's deadline.
-    const deadlineMs = askedAtMs + reply.heldMs + GRANT_DURATION_MS - GRANT_MARGIN_MS;
+    const deadlineMs = requestedAtMs + reply.heldMs + GRANT_DURATION_MS - GRANT_SAFETY_MARGIN_MS;
     if (this.signal.aborted || clock.monotonicMs() >= deadlineMs) {
-      this.asker.withdraw(this.lastAttemptId);
+      this.grantRequester.withdraw(this.lastAttemptId);
       return this.signal.aborted ? this.endByAbort('not-run') : endByExpiry();
     }
     return this.runOnTarget(reply);
@@ -143,7 +143,7 @@
 
   /** Handles a missing reply: the home may have acted, but nothing was sent to a target. */
   private async endWithoutReply(error: RattanliftError): Promise<AttemptEnd> {
-    this.asker.withdraw(this.lastAttemptId);
+    this.grantRequester.withdraw(this.lastAttemptId);
     if (this.signal.aborted) return this.endByAbort('not-run');
     await this.context.waitForHome(this.job.pool, this.signal);
     const message = `The request to the pool's home failed: ${error.message}`;
@@ -167,17 +167,17 @@
 
   private async runOnTarget(grant: GrantReply): Promise<AttemptEnd> {
     const { job } = this;
-    const { clock, events, targets, keeper } = this.context;
+    const { clock, events, targets, grantRenewer: grantRenewer } = this.context;
     const target = { vm: grant.vm, host: grant.host, port: grant.port };
-    const lost = new AbortController();
-    keeper.add(createUsedGrant(job, grant, target, () => lost.abort()));
+    const lostController = new AbortController();
+    grantRenewer.add(createUsedGrant(job, grant, target, () => lostController.abort()));
     const { requestId, pool, jobKind, team } = job;
     const reason = `granted by the home in term ${grant.term}`;
     events.write('requestRouted', { requestId, pool, vm: grant.vm, jobKind, team, reason });
     const startedAtMs = clock.monotonicMs();
-    const signal = AbortSignal.any([this.signal, lost.signal]);
+    const signal = AbortSignal.any([this.signal, lostController.signal]);
     const result = await targets.run(target, createTaskRequest(job, grant, { clock, signal }));
-    if (result.type !== 'answering') keeper.remove(grant.grantId);
+    if (result.type !== 'answering') grantRenewer.remove(grant.grantId);
     const ranMs = clock.monotonicMs() - startedAtMs;
     switch (result.type) {
       case 'answering':
@@ -191,17 +191,17 @@
     }
   }
 
-  private endByAnswer(grant: GrantReply, result: Answering, startedAtMs: number): AttemptEnd {
+  private endByAnswer(grant: GrantReply, result: AnsweringResult, startedAtMs: number): AttemptEnd {
     const isFailed = result.httpStatus >= SERVER_ERROR_STATUS;
     if (isFailed && this.job.idempotent) return this.endByFailure(grant, result, startedAtMs);
     finished(result.body, (error) => {
       const ranMs = this.context.clock.monotonicMs() - startedAtMs;
-      const isWhole = error === undefined || error === null;
-      const goodResult: GrantResult = isFailed ? 'failed' : 'run';
-      this.reports.endGrant(
+      const isComplete = error === undefined || error === null;
+      const completeResult: GrantResult = isFailed ? 'failed' : 'run';
+      this.jobReporter.endGrant(
         grant,
-        isWhole ? goodResult : 'unknown',
-        isWhole ? 'run' : 'unknown',
+        isComplete ? completeResult : 'unknown',
+        isComplete ? 'run' : 'unknown',
         ranMs,
       );
     });
@@ -212,11 +212,15 @@
     return { type: 'final', answer };
   }
 
-  private endByFailure(grant: GrantReply, result: Answering, startedAtMs: number): AttemptEnd {
+  private endByFailure(
+    grant: GrantReply,
+    result: AnsweringResult,
+    startedAtMs: number,
+  ): AttemptEnd {
     const ranMs = this.context.clock.monotonicMs() - startedAtMs;
     result.body.on('error', () => undefined);
     result.body.resume();
-    this.reports.endGrant(grant, 'failed', 'run', ranMs);
+    this.jobReporter.endGrant(grant, 'failed', 'run', ranMs);
     this.earlierOutcome = 'run';
     const message = `The job failed on ${grant.vm} with status ${result.httpStatus}.`;
     const error = new RattanliftError({ kind: 'target-failed', message });
@@ -224,7 +228,7 @@
   }
 
   private endByTargetRefusal(grant: GrantReply, reason: string, ranMs: number): AttemptEnd {
-    this.reports.reportAttempt(grant, this.signal.aborted ? 'cancelled' : 'not-started', ranMs);
+    this.jobReporter.reportAttempt(grant, this.signal.aborted ? 'cancelled' : 'not-started', ranMs);
     if (this.signal.aborted) return this.endByAbort('not-run');
     const message = `${grant.vm} did not start the job: ${reason}.`;
     const error = new RattanliftError({ kind: 'target-refused', message });
@@ -235,30 +239,35 @@
     const message = `${grant.vm} did not return a complete answer: ${reason}.`;
     const error = new RattanliftError({ kind: 'target-silent', message });
     if (this.job.idempotent) {
-      this.reports.endGrant(grant, this.signal.aborted ? 'cancelled' : 'unknown', 'unknown', ranMs);
-      this.earlierOutcome = findStrongest(this.earlierOutcome, 'unknown');
+      this.jobReporter.endGrant(
+        grant,
+        this.signal.aborted ? 'cancelled' : 'unknown',
+        'unknown',
+        ranMs,
+      );
+      this.earlierOutcome = findStrongestOutcome(this.earlierOutcome, 'unknown');
       if (this.signal.aborted) return this.endByAbort('unknown');
       return { type: 'again', error, excludedVm: grant.vm };
     }
     // The target received a request that must run at most once, and then stopped answering. The
     // request may have run, so it is not sent again and not reported as not run.
-    this.reports.reportAttempt(grant, this.signal.aborted ? 'cancelled' : 'unknown', ranMs);
+    this.jobReporter.reportAttempt(grant, this.signal.aborted ? 'cancelled' : 'unknown', ranMs);
     return { type: 'final', answer: this.fail(error, 'unknown') };
   }
 
   private endByAbort(outcome: Outcome): AttemptEnd {
-    const isPast = this.context.clock.wallMs() >= this.job.deadlineAtMs;
-    const kind: ErrorKind = isPast ? 'deadline-past' : 'cancelled';
-    const message = isPast ? 'The deadline has passed.' : 'The job was cancelled.';
+    const isDeadlinePast = this.context.clock.wallMs() >= this.job.deadlineAtMs;
+    const kind: ErrorKind = isDeadlinePast ? 'deadline-past' : 'cancelled';
+    const message = isDeadlinePast ? 'The deadline has passed.' : 'The job was cancelled.';
     return { type: 'final', answer: this.fail(new RattanliftError({ kind, message }), outcome) };
   }
 
   private fail(error: RattanliftError, outcome?: Outcome): JobAnswer {
     const { requestId } = this.job;
-    const known = outcome ?? ERROR_ANSWERS[error.kind].outcome;
+    const lastOutcome = outcome ?? ERROR_ANSWERS[error.kind].outcome;
     // The answer includes the outcome of earlier attempts. Otherwise, if the first attempt runs
     // and fails and the next one finds no VM, the caller would be told that the job did not run.
-    const strongest = findStrongest(this.earlierOutcome, known);
+    const strongest = findStrongestOutcome(this.earlierOutcome, lastOutcome);
     return { type: 'failed', requestId, outcome: strongest, error };
   }
 }
--- a/src/entry/JobStore.ts
+++ b/src/entry/JobStore.ts
@@ -8,7 +8,7 @@
   readonly state: JobState;
   readonly abort: AbortController;
   /** Monotonic time at which the finished job is removed; undefined until it has finished. */
-  readonly forgetAtMs: number | undefined;
+  readonly expiresAtMs: number | undefined;
 }
 
 /** Options of {@link JobStore}. */
@@ -18,24 +18,24 @@
   readonly maxJobCount: number;
 }
 
-const KEPT_AFTER_FINISH_MS = 600_000;
+const FINISHED_JOB_RETENTION_MS = 600_000;
 const MAX_ANSWER_BYTES = 8 * 1024 * 1024;
 
 async function readBody(body: AsyncIterable<Buffer>): Promise<Buffer> {
   const iterator = body[Symbol.asyncIterator]();
-  const readOn = async (chunks: readonly Buffer[], sizeBytes: number): Promise<Buffer> => {
+  const readRemaining = async (chunks: readonly Buffer[], sizeBytes: number): Promise<Buffer> => {
     const { done, value } = await iterator.next();
     if (done) return Buffer.concat(chunks);
     const nextSizeBytes = sizeBytes + value.length;
     if (nextSizeBytes > MAX_ANSWER_BYTES) {
       return throwError('answer-cut', 'The answer is too large to store.');
     }
-    return readOn([...chunks, value], nextSizeBytes);
+    return readRemaining([...chunks, value], nextSizeBytes);
   };
-  return readOn([], 0);
+  return readRemaining([], 0);
 }
 
-async function readEnd(answer: JobAnswer): Promise<Partial<JobState>> {
+async function readFinalState(answer: JobAnswer): Promise<Partial<JobState>> {
   if (answer.type === 'failed') {
     const { kind, message } = answer.error;
     return { outcome: answer.outcome, errorKind: kind, message };
@@ -79,7 +79,7 @@
 
   /** Number of jobs that have not finished. */
   get unfinishedCount(): number {
-    return this.jobs.list().filter((job) => job.forgetAtMs === undefined).length;
+    return this.jobs.list().filter((job) => job.expiresAtMs === undefined).length;
   }
 
   /**
@@ -92,7 +92,7 @@
     if (this.jobs.size >= this.options.maxJobCount) {
       return throwError('queue-full', 'This instance already stores its maximum number of jobs.');
     }
-    const job: StoredJob = { state, abort: new AbortController(), forgetAtMs: undefined };
+    const job: StoredJob = { state, abort: new AbortController(), expiresAtMs: undefined };
     this.jobs.put(job);
     return job;
   }
@@ -104,9 +104,13 @@
    */
   async finish(jobId: string, answer: JobAnswer): Promise<void> {
     const job = this.jobs.getOrThrow(jobId);
-    const end = await readEnd(answer);
-    const forgetAtMs = this.options.clock.monotonicMs() + KEPT_AFTER_FINISH_MS;
-    this.jobs.put({ ...job, forgetAtMs, state: { ...job.state, phase: 'finished', ...end } });
+    const finalState = await readFinalState(answer);
+    const expiresAtMs = this.options.clock.monotonicMs() + FINISHED_JOB_RETENTION_MS;
+    this.jobs.put({
+      ...job,
+      expiresAtMs: expiresAtMs,
+      state: { ...job.state, phase: 'finished', ...finalState },
+    });
   }
 
   /** Removes finished jobs whose retention time is over. */
@@ -114,7 +118,7 @@
     const nowMs = this.options.clock.monotonicMs();
     this.jobs
       .list()
-      .filter((job) => job.forgetAtMs !== undefined && job.forgetAtMs <= nowMs)
+      .filter((job) => job.expiresAtMs !== undefined && job.expiresAtMs <= nowMs)
       .forEach((job) => this.jobs.remove(job.state.jobId));
   }
 }
--- a/src/entry/NotRunCheck.ts
+++ b/src/entry/NotRunCheck.ts
@@ -17,7 +17,7 @@
  * Error kinds of refusals that the pool's home issues while it holds its lease. All claims of the
  * pool pass through the home, so it knows that no earlier attempt has run.
  */
-const KINDS_OF_HOME: ReadonlySet<ErrorKind> = new Set([
+const HOME_REFUSAL_KINDS: ReadonlySet<ErrorKind> = new Set([
   'queue-full',
   'quota-exceeded',
   'no-capacity',
@@ -66,7 +66,7 @@
    * @returns The same answer, or one with the outcome of the earlier attempt.
    */
   async correct(answer: FailedAnswer, isRepeat: boolean): Promise<FailedAnswer> {
-    if (answer.outcome !== 'not-run' || KINDS_OF_HOME.has(answer.error.kind)) return answer;
+    if (answer.outcome !== 'not-run' || HOME_REFUSAL_KINDS.has(answer.error.kind)) return answer;
     const isCurrent = await this.options.readToEnd();
     const claim = this.options.fleet.claims.get(answer.requestId);
     if (claim === undefined) {
--- a/src/entry/RetryBudget.ts
+++ b/src/entry/RetryBudget.ts
@@ -1,16 +1,16 @@
 /** Options of {@link RetryBudget}. */
 export interface RetryBudgetOptions {
   /** Retries that each first attempt adds to the budget. */
-  readonly earnedPerRequest: number;
+  readonly retriesPerRequest: number;
   /** Maximum number of retries in the budget. */
-  readonly maxSavedCount: number;
+  readonly maxRetryCount: number;
 }
 
 /** Limits retries to a share of the requests, so that failing targets are not overloaded. */
 export class RetryBudget {
   private readonly options: RetryBudgetOptions;
 
-  private savedCount: number;
+  private availableCount: number;
 
   /**
    * Creates a full budget.
@@ -18,22 +18,22 @@
    */
   constructor(options: RetryBudgetOptions) {
     this.options = options;
-    this.savedCount = options.maxSavedCount;
+    this.availableCount = options.maxRetryCount;
   }
 
   /** Adds the share of a first attempt to the budget. */
-  earn(): void {
-    const { earnedPerRequest, maxSavedCount } = this.options;
-    this.savedCount = Math.min(maxSavedCount, this.savedCount + earnedPerRequest);
+  deposit(): void {
+    const { retriesPerRequest: retriesPerRequest, maxRetryCount: maxRetryCount } = this.options;
+    this.availableCount = Math.min(maxRetryCount, this.availableCount + retriesPerRequest);
   }
 
   /**
    * Takes one retry.
    * @returns Whether a retry was available.
    */
-  spend(): boolean {
-    if (this.savedCount < 1) return false;
-    this.savedCount -= 1;
+  withdraw(): boolean {
+    if (this.availableCount < 1) return false;
+    this.availableCount -= 1;
     return true;
   }
 }
--- a/src/entry/createGrantRequest.ts
+++ b/src/entry/createGrantRequest.ts
@@ -15,7 +15,7 @@
 ): GrantRequest {
   const { requestId, pool, team, jobKind, urgency, coreCount, memoryMb } = job;
   const { idempotent, deadlineAtMs, fingerprint } = job;
-  const what = { requestId, pool, team, jobKind, urgency, coreCount, memoryMb };
-  const how = { idempotent, deadlineAtMs, fingerprint, excludedVms };
-  return { type: 'request-grant', attemptId, ...what, ...how };
+  const jobFields = { requestId, pool, team, jobKind, urgency, coreCount, memoryMb };
+  const constraints = { idempotent, deadlineAtMs, fingerprint, excludedVms };
+  return { type: 'request-grant', attemptId, ...jobFields, ...constraints };
 }
--- a/src/entry/createTaskRequest.ts
+++ b/src/entry/createTaskRequest.ts
@@ -1,7 +1,7 @@
 import type { GrantReply } from '../peers/index.js';
 import type { TaskRequest } from '../targets/index.js';
 import type { Clock } from '../utils/index.js';
-import { TASK_LEASE_MS } from './GrantKeeper.js';
+import { TASK_LEASE_MS } from './GrantRenewer.js';
 import type { Job } from './Job.js';
 
 /** Options of {@link createTaskRequest}. */
--- a/src/entry/createUsedGrant.ts
+++ b/src/entry/createUsedGrant.ts
@@ -1,6 +1,6 @@
 import type { GrantReply } from '../peers/index.js';
 import type { TargetAddress } from '../targets/index.js';
-import type { UsedGrant } from './GrantKeeper.js';
+import type { UsedGrant } from './GrantRenewer.js';
 import type { Job } from './Job.js';
 
 /**
--- a/src/entry/findStrongest.ts
+++ b/src/entry/findStrongestOutcome.ts
@@ -8,7 +8,7 @@
  * @param other - Outcome of the other.
  * @returns The stronger outcome: `run` outranks `unknown`, which outranks `not-run`.
  */
-export function findStrongest(one: Outcome, other: Outcome): Outcome {
-  const strengthOf = (outcome: Outcome) => OUTCOMES_BY_STRENGTH.indexOf(outcome);
-  return strengthOf(one) >= strengthOf(other) ? one : other;
+export function findStrongestOutcome(one: Outcome, other: Outcome): Outcome {
+  const getStrength = (outcome: Outcome) => OUTCOMES_BY_STRENGTH.indexOf(outcome);
+  return getStrength(one) >= getStrength(other) ? one : other;
 }
--- a/tests/entry/GrantAsker.test.ts
+++ b/tests/entry/GrantRequester.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { GrantAsker } from '../../src/entry/GrantAsker.js';
+import { GrantRequester } from '../../src/entry/GrantRequester.js';
 import { RattanliftError } from '../../src/errors/index.js';
 import type { PeerReply, PeerRequest } from '../../src/peers/index.js';
 import { ManualClock } from '../../src/utils/index.js';
@@ -11,20 +11,20 @@
 const JOB = makeJob({ deadlineAtMs: DEADLINE_MS });
 
 function setUp(answer: (request: PeerRequest) => Promise<PeerReply>) {
-  const asked: { readonly type: string; readonly waitMs: number }[] = [];
+  const sentRequests: { readonly type: string; readonly waitMs: number }[] = [];
   const caller = new AbortController();
-  const asker = new GrantAsker({
+  const requester = new GrantRequester({
     job: JOB,
     clock: new ManualClock(),
     signal: caller.signal,
     router: {
-      ask: (_pool, request, waitMs) => {
-        asked.push({ type: request.type, waitMs });
+      call: (_pool, request, waitMs) => {
+        sentRequests.push({ type: request.type, waitMs });
         return answer(request);
       },
     },
   });
-  return { asker, asked, caller };
+  return { asker: requester, asked: sentRequests, caller };
 }
 
 describe('GrantAsker', () => {
@@ -36,7 +36,7 @@
     const { asker, asked, caller } = setUp(({ type }) =>
       type === 'request-grant' ? held : Promise.reject(new Error('No home.')),
     );
-    const asking = asker.ask('a1', []);
+    const asking = asker.requestGrant('a1', []);
     caller.abort();
     expect(asked).toEqual([
       { type: 'request-grant', waitMs: DEADLINE_MS + GRACE_MS },
@@ -48,14 +48,14 @@
 
   it('does not withdraw the request of an attempt that has ended', async () => {
     const { asker, asked, caller } = setUp(() => Promise.resolve({ type: 'done' }));
-    await asker.ask('a1', []);
+    await asker.requestGrant('a1', []);
     caller.abort();
     expect(asked.map(({ type }) => type)).toEqual(['request-grant']);
   });
 
   it('tells why there is no reply', async () => {
     const { asker } = setUp(() => Promise.reject(new Error('No home.')));
-    const reply = await asker.ask('a1', []);
+    const reply = await asker.requestGrant('a1', []);
     expect(reply).toBeInstanceOf(RattanliftError);
     expect(reply).toMatchObject({ kind: 'home-unavailable' });
   });
--- a/tests/entry/GrantReports.test.ts
+++ b/tests/entry/JobGrantReporter.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 import type { FinishReport } from '../../src/entry/index.js';
-import { GrantReports } from '../../src/entry/GrantReports.js';
+import { JobGrantReporter } from '../../src/entry/JobGrantReporter.js';
 
 const makeGrant = (grantId: string, vm: string) => ({
   type: 'granted' as const,
@@ -15,9 +15,9 @@
 function setUp(idempotent: boolean) {
   const reported: FinishReport[] = [];
   const removed: string[] = [];
-  const reports = new GrantReports({
+  const reports = new JobGrantReporter({
     job: { requestId: 'r1', pool: 'team/pool', jobKind: 'save', idempotent },
-    keeper: { remove: (grantId) => removed.push(grantId) },
+    grantRenewer: { remove: (grantId) => removed.push(grantId) },
     reporter: { report: (report) => reported.push(report) },
   });
   return { reports, reported, removed };
@@ -27,7 +27,7 @@
   it('settles a claim once, whichever way comes first', () => {
     const { reports, reported, removed } = setUp(false);
     const grant = makeGrant('g1', 'vm-1');
-    reports.noteGranted(grant);
+    reports.recordGrant(grant);
     reports.endGrant(grant, 'run', 'run', 20);
     reports.settle('g1', 'not-run');
     expect(removed).toEqual(['g1']);
@@ -39,7 +39,7 @@
   it('settles a claim that no attempt has settled, under an id that is no grant', () => {
     const { reports, reported } = setUp(false);
     const grant = makeGrant('g1', 'vm-1');
-    reports.noteGranted(grant);
+    reports.recordGrant(grant);
     reports.reportAttempt(grant, 'not-started', 5);
     reports.settle('g2', 'not-run');
     expect(reported).toMatchObject([
@@ -53,7 +53,7 @@
     withoutGrant.reports.settle('g1', 'not-run');
     expect(withoutGrant.reported).toEqual([]);
     const idempotent = setUp(true);
-    idempotent.reports.noteGranted(makeGrant('g1', 'vm-1'));
+    idempotent.reports.recordGrant(makeGrant('g1', 'vm-1'));
     idempotent.reports.settle('g1', 'not-run');
     expect(idempotent.reported).toEqual([]);
   });
--- a/tests/entry/JobRun.test.ts
+++ b/tests/entry/JobRun.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from 'vitest';
 import {
   FinishReporter,
-  GrantKeeper,
+  GrantRenewer,
   type HomeRouter,
   JobRun,
   RetryBudget,
@@ -32,10 +32,10 @@
 }
 
 /** Runs a job by a script; returns its answer, the tasks sent and the settled outcomes. */
-async function play(script: Script) {
+async function runScript(script: Script) {
   const clock = new ManualClock();
   const tasks: TaskRequest[] = [];
-  const asked: PeerRequest[] = [];
+  const sentRequests: PeerRequest[] = [];
   let grantCount = 0;
   const reply = (request: PeerRequest): PeerReply => {
     if (request.type !== 'request-grant') return { type: 'done' };
@@ -56,7 +56,7 @@
   };
   const router = {
     ask: async (_pool: string, request: PeerRequest) => {
-      asked.push(request);
+      sentRequests.push(request);
       return reply(request);
     },
   } as unknown as HomeRouter;
@@ -72,9 +72,9 @@
       router,
       targets,
       clock,
-      keeper: new GrantKeeper({ router, targets, clock }),
+      grantRenewer: new GrantRenewer({ router, targets, clock }),
       reporter: new FinishReporter({ router, clock }),
-      retryBudget: new RetryBudget({ earnedPerRequest: 1, maxSavedCount: 10 }),
+      retryBudget: new RetryBudget({ retriesPerRequest: 1, maxRetryCount: 10 }),
       events: new MemoryEventLog(),
       metrics: new MemoryMetrics(),
       createAttemptId: () => `attempt-${grantCount}`,
@@ -84,7 +84,7 @@
     new AbortController().signal,
   );
   const result = await run.run();
-  const settled = asked.flatMap((request) =>
+  const settled = sentRequests.flatMap((request) =>
     request.type === 'finish-grant' && request.isClaimed ? [request.outcome] : [],
   );
   return { result, tasks, settled };
@@ -98,14 +98,14 @@
     // Guards against a repeated page save: the target receives the save and stops answering, but
     // may have stored the page.
     it('never sends a non-idempotent request again once it has left', async () => {
-      const played = await play({ idempotent: false, results: [SILENT, answer(200)] });
+      const played = await runScript({ idempotent: false, results: [SILENT, answer(200)] });
       expect(played.tasks).toHaveLength(1);
       expect(played.result).toMatchObject({ type: 'failed', outcome: 'unknown' });
       expect(played.settled).toEqual(['unknown']);
     });
 
     it('tries another VM where the target certainly did not start', async () => {
-      const played = await play({ idempotent: false, results: [REFUSED, answer(200)] });
+      const played = await runScript({ idempotent: false, results: [REFUSED, answer(200)] });
       expect(played.result).toMatchObject({ type: 'answered', httpStatus: 200 });
       expect(played.tasks.every((task) => task.freshConnection)).toBe(true);
     });
@@ -113,7 +113,7 @@
     // Guards against two concurrent runs of a save: a draining VM refuses it, the next VM runs it,
     // and the log records "not run" for the first attempt meanwhile, so a repeat would also run.
     it('settles a claim once, with the last attempt', async () => {
-      const played = await play({ idempotent: false, results: [REFUSED, SILENT] });
+      const played = await runScript({ idempotent: false, results: [REFUSED, SILENT] });
       expect(played.settled).toEqual(['unknown']);
     });
 
@@ -125,7 +125,7 @@
     ] as const)(
       'reports the outcome %s of an earlier attempt, whatever the last one did',
       async (outcome, first) => {
-        const played = await play({
+        const played = await runScript({
           idempotent: true,
           results: [first],
           refusals: [undefined, 'no-capacity'],
@@ -137,7 +137,7 @@
     // Guards against "run" for a job that no target started: three VMs refuse it, and the home
     // rejects it as a job that fails on every VM.
     it('does not report a job as run if no target has started it', async () => {
-      const played = await play({
+      const played = await runScript({
         idempotent: true,
         results: [REFUSED, REFUSED, REFUSED],
         refusals: [undefined, undefined, undefined, 'target-failed'],
@@ -148,14 +148,14 @@
     // Guards against the use of a slot that belongs to another request: the process is paused
     // after the home grants the slot, and resumes after the grant has ended.
     it('sends nothing on a grant that has ended', async () => {
-      const played = await play({ idempotent: true, results: [], heldAtHomeMs: 10_000 });
+      const played = await runScript({ idempotent: true, results: [], heldAtHomeMs: 10_000 });
       expect(played.tasks).toEqual([]);
       expect(played.result).toMatchObject({ type: 'failed', outcome: 'not-run' });
     });
 
     it('gives up on a pool without a home after a bounded wait', async () => {
       const refusals = Array.from({ length: 20 }, () => 'home-unavailable' as const);
-      const played = await play({ idempotent: true, results: [], refusals });
+      const played = await runScript({ idempotent: true, results: [], refusals });
       expect(played.result).toMatchObject({
         outcome: 'not-run',
         error: { kind: 'home-unavailable' },
