--- a/src/daemon/Daemon.ts
+++ b/src/daemon/Daemon.ts
@@ -55,7 +55,7 @@
       metrics: this.options.metrics,
       timing: DEFAULT_LEASE_TIMING,
       getReadToEndAtMs: () =>
-        this.parts.follower.isLogOut ? undefined : this.parts.follower.lastReachedAtMs,
+        this.parts.follower.isLogUnavailable ? undefined : this.parts.follower.lastReachedAtMs,
     });
     this.parts.follower.start();
     this.ticker = setInterval(() => this.tick(), TICK_MS);
--- a/src/daemon/InstanceParts.ts
+++ b/src/daemon/InstanceParts.ts
@@ -152,7 +152,7 @@
       fleet: this.fleet,
       peers: this.peers,
       handleLocally: (from, request) => this.handlePeer(from, request),
-      isLogOut: () => this.follower.isLogOut,
+      isLogOut: () => this.follower.isLogUnavailable,
     });
   }
 
@@ -192,7 +192,7 @@
       metrics,
       peers,
       getPoolSettings: (pool) => getPoolSettings(fleet, pool),
-      isLogOut: () => this.follower.isLogOut,
+      isLogOut: () => this.follower.isLogUnavailable,
       holdsLease: this.options.holdsLease,
       listOwnGrants: (pool) =>
         this.keeper.list(pool).map((grant) => ({ ...grant, entry: instance })),
--- a/src/daemon/PeerCatchUp.ts
+++ b/src/daemon/PeerCatchUp.ts
@@ -39,7 +39,7 @@
 
   /** Asks the next peer while the log is out. */
   tick(): void {
-    if (!this.options.follower.isLogOut) return;
+    if (!this.options.follower.isLogUnavailable) return;
     const peers = this.options.fleet.instances
       .list()
       .filter((row) => row.state === 'joined' && row.instance !== this.options.instance);
--- a/src/log/Backoff.ts
+++ b/src/log/Backoff.ts
@@ -4,7 +4,7 @@
   readonly longestMs: number;
 }
 
-const GROWTH = 2;
+const GROWTH_FACTOR = 2;
 
 /** Exponential backoff between attempts, which starts again after a success. */
 export class Backoff {
@@ -25,9 +25,9 @@
    * Returns the next pause and doubles the one after it, up to the longest pause.
    * @returns The pause in milliseconds.
    */
-  take(): number {
+  nextPauseMs(): number {
     const pauseMs = this.nextMs;
-    this.nextMs = Math.min(pauseMs * GROWTH, this.options.longestMs);
+    this.nextMs = Math.min(pauseMs * GROWTH_FACTOR, this.options.longestMs);
     return pauseMs;
   }
 
--- a/src/log/EntryApplier.ts
+++ b/src/log/EntryApplier.ts
@@ -82,7 +82,7 @@
   applyRead(entries: readonly LogEntry[], endOffset: number): void {
     entries.forEach((entry) => this.apply(entry));
     this.knownEndOffset = Math.max(this.knownEndOffset, endOffset);
-    this.goOn();
+    this.applyBuffered();
   }
 
   /**
@@ -92,7 +92,7 @@
    */
   offer(entries: readonly LogEntry[]): void {
     this.buffer.add(entries, this.options.tables.nextOffset);
-    this.goOn();
+    this.applyBuffered();
   }
 
   /**
@@ -110,7 +110,7 @@
   /** Ends all waits as not reached; later waits end at once. */
   endWaits(): void {
     this.areWaitsEnded = true;
-    this.waiters.abandon();
+    this.waiters.endAll();
   }
 
   /**
@@ -120,16 +120,16 @@
    */
   restore(state: unknown): RestoreResult {
     const result = restoreTables(this.options.tables, state);
-    if (result.type === 'restored') this.noteRestored();
+    if (result.type === 'restored') this.handleRestored();
     return result;
   }
 
-  private noteRestored(): void {
+  private handleRestored(): void {
     const { events, tables } = this.options;
     events.write('snapshotLoaded', { nextOffset: tables.nextOffset });
-    this.buffer.dropBefore(tables.nextOffset);
+    this.buffer.removeBefore(tables.nextOffset);
     this.restoredListeners.forEach((listener) => listener());
-    this.goOn();
+    this.applyBuffered();
   }
 
   private apply(entry: LogEntry): void {
@@ -146,14 +146,14 @@
   }
 
   /** Applies buffered entries up to the next gap and ends the waits that are reached. */
-  private goOn(): void {
+  private applyBuffered(): void {
     const { tables } = this.options;
     let entry = this.buffer.take(tables.nextOffset);
     while (entry !== undefined) {
       this.apply(entry);
       entry = this.buffer.take(tables.nextOffset);
     }
-    this.buffer.dropBefore(tables.nextOffset);
-    this.waiters.reach(tables.nextOffset);
+    this.buffer.removeBefore(tables.nextOffset);
+    this.waiters.endReached(tables.nextOffset);
   }
 }
--- a/src/log/LogFollower.ts
+++ b/src/log/LogFollower.ts
@@ -7,7 +7,7 @@
 import { Backoff, type BackoffOptions } from './Backoff.js';
 import { type AppliedListener, EntryApplier } from './EntryApplier.js';
 import type { OffsetWaitOptions } from './OffsetWaiters.js';
-import { raceTimeout } from './raceTimeout.js';
+import { withTimeout } from './withTimeout.js';
 import { loadLatestSnapshot } from './snapshot/loadLatestSnapshot.js';
 import type { RestoreResult } from './snapshot/restoreTables.js';
 import type { SerializedTables } from './snapshot/SerializedTables.js';
@@ -57,11 +57,11 @@
 
   private running: Promise<void> | undefined;
 
-  private isOut = false;
+  private isUnavailable = false;
 
   private hasLoadedAtStart = false;
 
-  private isCutOff = false;
+  private hasMissedRecords = false;
 
   private reachedAtMs: number | undefined;
 
@@ -84,12 +84,12 @@
 
   /** Whether the log no longer keeps records that this instance needs and no snapshot has them. */
   get isTruncated(): boolean {
-    return this.isCutOff;
+    return this.hasMissedRecords;
   }
 
   /** Whether the last read failed. */
-  get isLogOut(): boolean {
-    return this.isOut;
+  get isLogUnavailable(): boolean {
+    return this.isUnavailable;
   }
 
   /**
@@ -175,7 +175,7 @@
   private async run(): Promise<void> {
     while (!this.stopping.signal.aborted) {
       // eslint-disable-next-line no-await-in-loop -- each read begins where the last one ended
-      await this.readOnce().catch((thrown: unknown) => this.pause(thrown));
+      await this.readOnce().catch((thrown: unknown) => this.handleFailure(thrown));
     }
   }
 
@@ -186,10 +186,10 @@
     const fromOffset = tables.nextOffset;
     const sentAtMs = clock.monotonicMs();
     const options = { stream, fromOffset, maxCount: MAX_READ_COUNT, waitMs: readWaitMs };
-    const result = await raceTimeout(log.read(options), limitMs);
+    const result = await withTimeout(log.read(options), limitMs);
     if (this.stopping.signal.aborted) return;
-    await this.takeResult(result, fromOffset, sentAtMs);
-    this.noteReachable();
+    await this.handleResult(result, fromOffset, sentAtMs);
+    this.handleSuccess();
     // Without this pause, a service that answers at once would cause a busy loop of empty reads.
     const isEmpty = result.type === 'entries' && result.entries.length === 0;
     if (isEmpty && clock.monotonicMs() - sentAtMs < EMPTY_READ_GAP_MS) {
@@ -197,13 +197,13 @@
     }
   }
 
-  private async takeResult(
+  private async handleResult(
     result: LogReadResult,
     fromOffset: number,
     sentAtMs: number,
   ): Promise<void> {
     if (result.type === 'truncated') {
-      await this.loadAhead(result.firstOffset);
+      await this.recoverFromTruncation(result.firstOffset);
       return;
     }
     const { endOffset, entries } = result;
@@ -234,26 +234,26 @@
    * it continued from the first record kept. It continues only from a snapshot that leaves no gap,
    * and retries until there is one.
    */
-  private async loadAhead(firstOffset: number): Promise<void> {
+  private async recoverFromTruncation(firstOffset: number): Promise<void> {
     const { events, tables } = this.options;
     const { nextOffset: neededOffset } = tables;
     const state = await this.loadSnapshot();
     if (state !== undefined) this.restore(state);
-    const wasCutOff = this.isCutOff;
-    this.isCutOff = tables.nextOffset < firstOffset;
-    if (!this.isCutOff) return;
-    if (!wasCutOff) events.write('logTruncated', { neededOffset, firstOffset });
+    const hadMissedRecords = this.hasMissedRecords;
+    this.hasMissedRecords = tables.nextOffset < firstOffset;
+    if (!this.hasMissedRecords) return;
+    if (!hadMissedRecords) events.write('logTruncated', { neededOffset, firstOffset });
     const gap = `records ${tables.nextOffset} to ${firstOffset - 1}`;
     throwError('log-unavailable', `Neither the log nor a snapshot contains ${gap}.`);
   }
 
-  private async pause(thrown: unknown): Promise<void> {
+  private async handleFailure(thrown: unknown): Promise<void> {
     const { message } = toRattanliftError(thrown, 'log-unavailable');
-    if (!this.isOut) {
-      this.isOut = true;
+    if (!this.isUnavailable) {
+      this.isUnavailable = true;
       this.options.events.write('logUnreachable', { stream: this.options.stream, message });
     }
-    await this.sleepFor(this.backoff.take());
+    await this.sleepFor(this.backoff.nextPauseMs());
   }
 
   private async sleepFor(pauseMs: number): Promise<void> {
@@ -261,10 +261,10 @@
     await sleep(pauseMs, undefined, { signal }).catch(() => undefined);
   }
 
-  private noteReachable(): void {
+  private handleSuccess(): void {
     this.backoff.reset();
-    if (!this.isOut) return;
-    this.isOut = false;
+    if (!this.isUnavailable) return;
+    this.isUnavailable = false;
     this.options.events.write('logReachable', { stream: this.options.stream });
   }
 }
--- a/src/log/LogWriter.ts
+++ b/src/log/LogWriter.ts
@@ -10,14 +10,14 @@
 import type { FleetTables, VerdictRow } from '../tables/index.js';
 import type { Clock } from '../utils/index.js';
 import { Backoff, type BackoffOptions } from './Backoff.js';
-import { findFreeze } from './findFreeze.js';
+import { findFreezeReason } from './findFreezeReason.js';
 import type { LogFollower } from './LogFollower.js';
-import { nameClaims } from './nameClaims.js';
+import { addClaimOffsets } from './addClaimOffsets.js';
 import { PendingWrite } from './PendingWrite.js';
-import { raceTimeout } from './raceTimeout.js';
+import { withTimeout } from './withTimeout.js';
 import type { WriteResult } from './WriteResult.js';
 
-const DEFAULT_APPEND_WAIT_MS = 5_000;
+const DEFAULT_APPEND_TIMEOUT_MS = 5_000;
 const DEFAULT_BACKOFF: BackoffOptions = { firstMs: 50, longestMs: 2_000 };
 const MAX_BATCH_COUNT = 200;
 const MAX_BATCH_BYTES = 262_144;
@@ -77,11 +77,11 @@
 
   private readonly removeListeners: readonly (() => void)[];
 
-  private isPumping = false;
+  private isAppending = false;
 
   private nextAppendAtMs = Number.NEGATIVE_INFINITY;
 
-  private isOut = false;
+  private isUnavailable = false;
 
   /**
    * Creates a writer. No write gets a verdict before the follower is started.
@@ -102,8 +102,8 @@
   }
 
   /** Whether the last append failed. */
-  get isLogOut(): boolean {
-    return this.isOut;
+  get isLogUnavailable(): boolean {
+    return this.isUnavailable;
   }
 
   /**
@@ -120,7 +120,7 @@
       formatVersion: RECORD_FORMAT_VERSION,
       recordId,
       writer,
-      body: nameClaims(this.options.tables, body),
+      body: addClaimOffsets(this.options.tables, body),
     });
     if (!parsed.success) {
       const issue = parsed.error.issues[0]!;
@@ -130,7 +130,8 @@
     const { deadlineMs, failsFast = false } = options;
     const waitMs = deadlineMs - clock.monotonicMs();
     const refusal =
-      this.findRefusal(waitMs, failsFast) ?? findFreeze(this.options.tables, parsed.data.body);
+      this.findRefusal(waitMs, failsFast) ??
+      findFreezeReason(this.options.tables, parsed.data.body);
     if (refusal !== undefined) return Promise.resolve({ type: 'not-written', reason: refusal });
     return this.enqueue(parsed.data, waitMs, failsFast);
   }
@@ -140,7 +141,7 @@
     this.closing.abort();
     this.removeListeners.forEach((remove) => remove());
     [...this.pending.values()].forEach((pending) => {
-      this.drop(pending);
+      this.removePending(pending);
       pending.giveUp('The writer was closed.');
     });
   }
@@ -148,7 +149,7 @@
   private findRefusal(waitMs: number, failsFast: boolean): string | undefined {
     if (this.closing.signal.aborted) return 'The writer is closed.';
     if (waitMs <= 0) return 'The deadline has passed.';
-    return failsFast && this.isOut ? 'The log does not answer.' : undefined;
+    return failsFast && this.isUnavailable ? 'The log does not answer.' : undefined;
   }
 
   private enqueue(record: LogRecord, waitMs: number, failsFast: boolean): Promise<WriteResult> {
@@ -158,21 +159,21 @@
     this.unsent.add(record.recordId);
     // All writes of one event loop turn share one append.
     queueMicrotask(() => {
-      void this.pump();
+      void this.appendPending();
     });
     return pending.result;
   }
 
-  private async pump(): Promise<void> {
-    if (this.isPumping) return;
-    this.isPumping = true;
+  private async appendPending(): Promise<void> {
+    if (this.isAppending) return;
+    this.isAppending = true;
     while (this.unsent.size > 0 && !this.closing.signal.aborted) {
       // eslint-disable-next-line no-await-in-loop -- records written in the meantime join the batch
       await this.waitForGap();
       // eslint-disable-next-line no-await-in-loop -- one append at a time keeps the order
       await this.appendBatch(this.takeBatch());
     }
-    this.isPumping = false;
+    this.isAppending = false;
   }
 
   /**
@@ -204,26 +205,26 @@
   }
 
   private async appendBatch(batch: readonly PendingWrite[]): Promise<void> {
-    const { appendWaitMs = DEFAULT_APPEND_WAIT_MS, clock, log, stream } = this.options;
+    const { appendWaitMs = DEFAULT_APPEND_TIMEOUT_MS, clock, log, stream } = this.options;
     const records = batch.map((pending) => pending.record);
     batch.forEach((pending) => pending.markSent());
     const sentAtMs = clock.monotonicMs();
     try {
-      await raceTimeout(log.append(stream, records), appendWaitMs);
+      await withTimeout(log.append(stream, records), appendWaitMs);
       this.options.onAppended?.(clock.monotonicMs() - sentAtMs);
-      this.isOut = false;
+      this.isUnavailable = false;
       this.backoff.reset();
     } catch (thrown) {
-      this.isOut = true;
-      this.putBack(batch);
-      this.failFast(toRattanliftError(thrown, 'log-unavailable').message);
+      this.isUnavailable = true;
+      this.requeue(batch);
+      this.failFastWrites(toRattanliftError(thrown, 'log-unavailable').message);
       const { signal } = this.closing;
-      await sleep(this.backoff.take(), undefined, { signal }).catch(() => undefined);
+      await sleep(this.backoff.nextPauseMs(), undefined, { signal }).catch(() => undefined);
     }
   }
 
   /** Queues a failed batch ahead of later records, without records that have been read back. */
-  private putBack(batch: readonly PendingWrite[]): void {
+  private requeue(batch: readonly PendingWrite[]): void {
     const later = [...this.unsent];
     this.unsent.clear();
     batch
@@ -233,11 +234,11 @@
       .forEach((recordId) => this.unsent.add(recordId));
   }
 
-  private failFast(reason: string): void {
+  private failFastWrites(reason: string): void {
     [...this.pending.values()]
-      .filter((pending) => pending.failsFast && !pending.mayStand)
+      .filter((pending) => pending.failsFast && !pending.mayBeOnLog)
       .forEach((pending) => {
-        this.drop(pending);
+        this.removePending(pending);
         pending.giveUp(reason);
       });
   }
@@ -247,18 +248,18 @@
     if (pending === undefined) return false;
     const row = this.options.tables.verdicts.get(recordId);
     if (row === undefined) return false;
-    this.drop(pending);
+    this.removePending(pending);
     pending.settle(LogWriter.toResult(row));
     return true;
   }
 
   private expire(pending: PendingWrite): void {
     if (this.settleIfKnown(pending.record.recordId)) return;
-    this.drop(pending);
+    this.removePending(pending);
     pending.giveUp('The deadline passed before the record was read back.');
   }
 
-  private drop(pending: PendingWrite): void {
+  private removePending(pending: PendingWrite): void {
     this.pending.delete(pending.record.recordId);
     this.unsent.delete(pending.record.recordId);
   }
--- a/src/log/OfferBuffer.ts
+++ b/src/log/OfferBuffer.ts
@@ -33,7 +33,7 @@
    * Removes the entries before an offset, which have been applied from another source.
    * @param nextOffset - Offset of the next record to apply.
    */
-  dropBefore(nextOffset: number): void {
+  removeBefore(nextOffset: number): void {
     if (this.entries.size === 0) return;
     [...this.entries.keys()]
       .filter((offset) => offset < nextOffset)
--- a/src/log/OffsetWaiters.ts
+++ b/src/log/OffsetWaiters.ts
@@ -38,14 +38,14 @@
    * Ends the waits for offsets before the next one to apply as reached.
    * @param nextOffset - Offset of the next record to apply.
    */
-  reach(nextOffset: number): void {
+  endReached(nextOffset: number): void {
     [...this.waiters]
       .filter(([, offset]) => offset < nextOffset)
       .forEach(([settle]) => settle(true));
   }
 
   /** Ends all waits as not reached. */
-  abandon(): void {
+  endAll(): void {
     [...this.waiters.keys()].forEach((settle) => settle(false));
   }
 }
--- a/src/log/PendingWrite.ts
+++ b/src/log/PendingWrite.ts
@@ -42,7 +42,7 @@
   }
 
   /** Whether the record was sent, so it may be on the log. */
-  get mayStand(): boolean {
+  get mayBeOnLog(): boolean {
     return this.isSent;
   }
 
--- a/src/log/nameClaims.ts
+++ b/src/log/addClaimOffsets.ts
@@ -10,7 +10,7 @@
  * @param body - Body of the record.
  * @returns The body, with claim offsets added to its settlements if it has any.
  */
-export function nameClaims(tables: FleetTables, body: RecordBody): RecordBody {
+export function addClaimOffsets(tables: FleetTables, body: RecordBody): RecordBody {
   if (body.type !== 'requests-settled') return body;
   const settlements = body.settlements.map((settlement) => ({
     claimedOffset: tables.claims.get(settlement.requestId)?.claimedOffset,
--- a/src/log/applyEntry.ts
+++ b/src/log/applyEntry.ts
@@ -11,13 +11,13 @@
 
 const MAX_VERDICT_COUNT = 20_000;
 const EVERY_SUBTREE = '*';
-const UNREADABLE = '?';
+const UNREADABLE_FIELD = '?';
 
 const publicationSchema = z.object({
   body: z.object({
     type: z.literal('settings-published'),
-    team: z.string().catch(UNREADABLE),
-    author: z.string().catch(UNREADABLE),
+    team: z.string().catch(UNREADABLE_FIELD),
+    author: z.string().catch(UNREADABLE_FIELD),
   }),
 });
 
@@ -75,7 +75,7 @@
  * @param decoded - Format version and teams of the record.
  * @param offset - Offset of the record.
  */
-function freeze(
+function freezeSubtrees(
   tables: FleetTables,
   decoded: Extract<DecodedEntry, { readonly type: 'newer' }>,
   offset: number,
@@ -109,7 +109,7 @@
   if (decoded.type === 'undecodable') {
     return { verdict: rejectUnreadable(tables, entry, decoded.reason), record: undefined };
   }
-  freeze(tables, decoded, offset);
+  freezeSubtrees(tables, decoded, offset);
   const reason = `formatVersion: ${decoded.formatVersion} is newer than this program.`;
   return { verdict: rejectUnreadable(tables, entry, reason), record: undefined };
 }
--- a/src/log/findFreeze.ts
+++ b/src/log/findFreezeReason.ts
@@ -47,7 +47,7 @@
  * @param body - Body of the record.
  * @returns Why the record must not be written, or undefined if it may be written.
  */
-export function findFreeze(tables: FleetTables, body: RecordBody): string | undefined {
+export function findFreezeReason(tables: FleetTables, body: RecordBody): string | undefined {
   const subtree = listSubtrees(body).find((name) => tables.isFrozen(name));
   if (subtree === undefined) return undefined;
   const row = tables.frozen.get(subtree) ?? tables.frozen.getOrThrow(EVERY_SUBTREE);
--- a/src/log/fold/assignments.ts
+++ b/src/log/fold/assignments.ts
@@ -1,8 +1,8 @@
 import type { RecordBodyOf } from '../../records/index.js';
 import type { FleetTables, RecordVerdict } from '../../tables/index.js';
-import { findHomeFault, isPoolInForce } from './homes.js';
+import { findHomeMismatch, isPoolInForce } from './homes.js';
 import { ACCEPTED, reject } from './verdicts.js';
-import { finishWavesOf } from './waveProgress.js';
+import { finishWavesOfPool } from './waveProgress.js';
 
 /**
  * Applies the adoption of a VM by a pool.
@@ -21,7 +21,7 @@
   offset: number,
 ): RecordVerdict {
   const { vm, pool, expectedVersion } = body;
-  const fault = findHomeFault(tables, body);
+  const fault = findHomeMismatch(tables, body);
   if (fault !== undefined) return reject(fault);
   if (!isPoolInForce(tables, pool)) return reject(`Pool ${pool} is in no settings in force.`);
   const row = tables.assignments.get(vm);
@@ -47,7 +47,7 @@
   offset: number,
 ): RecordVerdict {
   const { vm, pool, expectedVersion } = body;
-  const fault = findHomeFault(tables, body);
+  const fault = findHomeMismatch(tables, body);
   if (fault !== undefined) return reject(fault);
   const row = tables.assignments.get(vm);
   if (row?.pool !== pool) return reject(`VM ${vm} does not belong to pool ${pool}.`);
@@ -55,6 +55,6 @@
     return reject(`VM ${vm} is at version ${row.version}, not at version ${expectedVersion}.`);
   }
   tables.assignments.put({ vm, pool: undefined, version: offset + 1 });
-  finishWavesOf(tables, pool, offset);
+  finishWavesOfPool(tables, pool, offset);
   return ACCEPTED;
 }
--- a/src/log/fold/claims.ts
+++ b/src/log/fold/claims.ts
@@ -1,13 +1,13 @@
 import type { Outcome } from '../../errors/index.js';
 import type { RecordBodyOf, RequestClaim } from '../../records/index.js';
 import type { ClaimRow, FleetTables, RecordVerdict } from '../../tables/index.js';
-import { findHomeFault } from './homes.js';
+import { findHomeMismatch } from './homes.js';
 import { ACCEPTED, reject } from './verdicts.js';
 
 type RequestSettlement = RecordBodyOf<'requests-settled'>['settlements'][number];
 
-const FORGET_MARGIN_MS = 600_000;
-const FORGET_STEP_MS = 60_000;
+const CLAIM_EXPIRY_MARGIN_MS = 600_000;
+const CLAIM_EXPIRY_INTERVAL_MS = 60_000;
 
 /**
  * Returns the wall-clock time that decides which claims have expired.
@@ -18,7 +18,7 @@
  * @param tables - Tables of the replicated state.
  * @returns Milliseconds since the Unix epoch; 0 if no clock is known.
  */
-function readTrustedWallMs(tables: FleetTables): number {
+function getTrustedWallMs(tables: FleetTables): number {
   const latestFirst = tables.writerClocks
     .list()
     .map((row) => row.wallMs)
@@ -31,14 +31,14 @@
  * interval of trusted time.
  * @param tables - Tables of the replicated state.
  */
-function forgetExpiredClaims(tables: FleetTables): void {
-  const dueMs = readTrustedWallMs(tables) - FORGET_MARGIN_MS;
-  if (dueMs < tables.claimsForgottenUpToMs + FORGET_STEP_MS) return;
-  const forgetBeforeMs = Math.floor(dueMs / FORGET_STEP_MS) * FORGET_STEP_MS;
-  Object.assign(tables, { claimsForgottenUpToMs: forgetBeforeMs });
+function deleteExpiredClaims(tables: FleetTables): void {
+  const expiredUpToMs = getTrustedWallMs(tables) - CLAIM_EXPIRY_MARGIN_MS;
+  if (expiredUpToMs < tables.claimsForgottenUpToMs + CLAIM_EXPIRY_INTERVAL_MS) return;
+  const expiryMs = Math.floor(expiredUpToMs / CLAIM_EXPIRY_INTERVAL_MS) * CLAIM_EXPIRY_INTERVAL_MS;
+  Object.assign(tables, { claimsForgottenUpToMs: expiryMs });
   tables.claims
     .list()
-    .filter((claim) => claim.keepUntilMs < forgetBeforeMs)
+    .filter((claim) => claim.keepUntilMs < expiryMs)
     .forEach((claim) => tables.claims.remove(claim.requestId));
 }
 
@@ -48,7 +48,11 @@
  * @param instance - The writer.
  * @param wallMs - Wall-clock time in the record; undefined if the record has none.
  */
-function noteClock(tables: FleetTables, instance: string, wallMs: number | undefined): void {
+function recordWriterClock(
+  tables: FleetTables,
+  instance: string,
+  wallMs: number | undefined,
+): void {
   if (wallMs === undefined) return;
   const formerMs = tables.writerClocks.get(instance)?.wallMs ?? 0;
   tables.writerClocks.put({ instance, wallMs: Math.max(formerMs, wallMs) });
@@ -63,7 +67,12 @@
  * @param offset - Offset of the record that holds the claim.
  * @returns Whether the claim was stored.
  */
-function tryClaim(tables: FleetTables, pool: string, claim: RequestClaim, offset: number): boolean {
+function storeClaim(
+  tables: FleetTables,
+  pool: string,
+  claim: RequestClaim,
+  offset: number,
+): boolean {
   const former = tables.claims.get(claim.requestId);
   if (former !== undefined && former.outcome !== 'not-run') return false;
   const isRepeat = former !== undefined;
@@ -88,12 +97,12 @@
   body: RecordBodyOf<'requests-claimed'>,
   offset: number,
 ): RecordVerdict {
-  const fault = findHomeFault(tables, body);
+  const fault = findHomeMismatch(tables, body);
   if (fault !== undefined) return reject(fault);
-  noteClock(tables, body.instance, body.writtenAtMs);
-  forgetExpiredClaims(tables);
+  recordWriterClock(tables, body.instance, body.writtenAtMs);
+  deleteExpiredClaims(tables);
   const refusedRequestIds = body.claims
-    .filter((claim) => !tryClaim(tables, body.pool, claim, offset))
+    .filter((claim) => !storeClaim(tables, body.pool, claim, offset))
     .map((claim) => claim.requestId);
   return refusedRequestIds.length === 0 ? ACCEPTED : { type: 'accepted', refusedRequestIds };
 }
@@ -137,7 +146,7 @@
   tables: FleetTables,
   body: RecordBodyOf<'requests-settled'>,
 ): RecordVerdict {
-  const fault = findHomeFault(tables, body);
+  const fault = findHomeMismatch(tables, body);
   if (fault !== undefined) return reject(fault);
   body.settlements.forEach((settlement) => {
     const claim = tables.claims.get(settlement.requestId);
--- a/src/log/fold/homes.ts
+++ b/src/log/fold/homes.ts
@@ -31,7 +31,7 @@
  * @param acting - Pool, instance and term in the record.
  * @returns Why the writer is not the home, or undefined if it is.
  */
-export function findHomeFault(tables: FleetTables, acting: ActingHome): string | undefined {
+export function findHomeMismatch(tables: FleetTables, acting: ActingHome): string | undefined {
   const home = tables.homes.get(acting.pool);
   if (home === undefined) return `There is no pool ${acting.pool}.`;
   if (home.instance === acting.instance && home.term === acting.term) return undefined;
@@ -108,7 +108,7 @@
   tables: FleetTables,
   body: RecordBodyOf<'home-released'>,
 ): RecordVerdict {
-  const fault = findHomeFault(tables, body);
+  const fault = findHomeMismatch(tables, body);
   if (fault !== undefined) return reject(fault);
   tables.homes.put({ pool: body.pool, instance: undefined, term: body.term });
   retireAbandonedHome(tables, body.pool);
--- a/src/log/fold/membership.ts
+++ b/src/log/fold/membership.ts
@@ -3,7 +3,7 @@
 import { freeHomes } from './homes.js';
 import { ACCEPTED, reject } from './verdicts.js';
 
-const MAX_ENDED_INSTANCE_COUNT = 200;
+const MAX_KEPT_ENDED_INSTANCE_COUNT = 200;
 
 /**
  * Marks an instance as ended, frees its homes and deletes the oldest ended instance beyond the
@@ -17,7 +17,7 @@
   tables.writerClocks.remove(row.instance);
   freeHomes(tables, row.instance);
   const ended = tables.instances.list().filter((other) => other.state !== 'joined');
-  if (ended.length > MAX_ENDED_INSTANCE_COUNT) tables.instances.remove(ended[0]!.instance);
+  if (ended.length > MAX_KEPT_ENDED_INSTANCE_COUNT) tables.instances.remove(ended[0]!.instance);
 }
 
 /**
--- a/src/log/fold/settings.ts
+++ b/src/log/fold/settings.ts
@@ -24,7 +24,7 @@
  * @param settings - The team's settings.
  * @returns The pools, each as `team/pool`.
  */
-function poolsOf(settings: TeamSettings): readonly string[] {
+function listPools(settings: TeamSettings): readonly string[] {
   return Object.keys(settings.pools).map((pool) => `${settings.team}/${pool}`);
 }
 
@@ -43,10 +43,10 @@
  * @param tables - Tables of the replicated state.
  * @param row - The settings.
  */
-function putInForce(tables: FleetTables, row: SettingsRow): void {
+function activateSettings(tables: FleetTables, row: SettingsRow): void {
   const former = tables.settings.get(row.team);
   tables.settings.put(row);
-  poolsOf(row.settings)
+  listPools(row.settings)
     .filter((pool) => !tables.homes.has(pool))
     .forEach((pool) => {
       const term = tables.retiredHomes.get(pool)?.term ?? 0;
@@ -54,7 +54,7 @@
       tables.homes.put({ pool, instance: undefined, term });
     });
   if (former === undefined) return;
-  poolsOf(former.settings).forEach((pool) => retireAbandonedHome(tables, pool));
+  listPools(former.settings).forEach((pool) => retireAbandonedHome(tables, pool));
 }
 
 /**
@@ -76,7 +76,7 @@
  * @param offset - Offset of the record.
  * @returns The verdict.
  */
-function decide(
+function evaluatePublication(
   tables: FleetTables,
   body: RecordBodyOf<'settings-published'>,
   offset: number,
@@ -100,7 +100,7 @@
   const checked = checkTeamSettings(document, `${team}.jsonc`, { team });
   if (checked.type === 'invalid') return reject(describeProblems(checked.problems));
   const settings = checked.value;
-  putInForce(tables, { team, version: offset + 1, settings, document, author });
+  activateSettings(tables, { team, version: offset + 1, settings, document, author });
   return ACCEPTED;
 }
 
@@ -116,7 +116,7 @@
   body: RecordBodyOf<'settings-published'>,
   offset: number,
 ): RecordVerdict {
-  const verdict = decide(tables, body, offset);
+  const verdict = evaluatePublication(tables, body, offset);
   const { team, author } = body;
   const reason = verdict.type === 'rejected' ? verdict.reason : '';
   recordPublication(tables, { offset, team, author, verdict: verdict.type, reason });
--- a/src/log/fold/waveProgress.ts
+++ b/src/log/fold/waveProgress.ts
@@ -31,7 +31,7 @@
  * Removes the wave that finished first and its steps if too many finished waves are kept.
  * @param tables - Tables of the replicated state.
  */
-function forgetOldWaves(tables: FleetTables): void {
+function removeOldestFinishedWave(tables: FleetTables): void {
   const finished = tables.waves.list().filter(isWaveFinished);
   if (finished.length <= MAX_FINISHED_WAVE_COUNT) return;
   const oldest = finished.reduce((first, wave) =>
@@ -54,7 +54,7 @@
 export function finishWaveIfDone(tables: FleetTables, wave: WaveRow, offset: number): void {
   if (isWaveFinished(wave) || !isEveryVmDone(tables, wave)) return;
   tables.waves.put({ ...wave, finishedOffset: offset });
-  forgetOldWaves(tables);
+  removeOldestFinishedWave(tables);
 }
 
 /**
@@ -63,7 +63,7 @@
  * @param pool - Pool as `team/pool`.
  * @param offset - Offset of the record that may have finished them.
  */
-export function finishWavesOf(tables: FleetTables, pool: string, offset: number): void {
+export function finishWavesOfPool(tables: FleetTables, pool: string, offset: number): void {
   tables.waves
     .list()
     .filter((wave) => wave.pools.includes(pool))
--- a/src/log/fold/waves.ts
+++ b/src/log/fold/waves.ts
@@ -1,6 +1,6 @@
 import type { RecordBodyOf } from '../../records/index.js';
 import type { FleetTables, RecordVerdict, WaveStepRow } from '../../tables/index.js';
-import { findHomeFault } from './homes.js';
+import { findHomeMismatch } from './homes.js';
 import { ACCEPTED, reject } from './verdicts.js';
 import { finishWaveIfDone, isWaveFinished } from './waveProgress.js';
 
@@ -77,7 +77,7 @@
  * @param body - Body of the record.
  * @returns The reason, or undefined if the step may begin.
  */
-function findStepFault(
+function findStepRejection(
   tables: FleetTables,
   body: RecordBodyOf<'step-intended'>,
 ): string | undefined {
@@ -98,7 +98,7 @@
  * @param body - The requested step.
  * @returns Whether the recorded step is done, or the same pool recorded it in this or a later term.
  */
-function isInTheWay(step: WaveStepRow, body: RecordBodyOf<'step-intended'>): boolean {
+function isBlockingStep(step: WaveStepRow, body: RecordBodyOf<'step-intended'>): boolean {
   if (step.state !== 'intended') return true;
   return step.pool === body.pool && step.term >= body.term;
 }
@@ -118,10 +118,10 @@
   body: RecordBodyOf<'step-intended'>,
 ): RecordVerdict {
   const { wave, pool, vm, term } = body;
-  const fault = findHomeFault(tables, body) ?? findStepFault(tables, body);
+  const fault = findHomeMismatch(tables, body) ?? findStepRejection(tables, body);
   if (fault !== undefined) return reject(fault);
   const former = tables.waveSteps.get(`${wave}/${vm}`);
-  if (former !== undefined && isInTheWay(former, body)) {
+  if (former !== undefined && isBlockingStep(former, body)) {
     return reject(`The step of VM ${vm} in wave ${wave} is ${former.state} already.`);
   }
   const bootId = former?.bootId ?? body.bootId;
@@ -142,7 +142,7 @@
   offset: number,
 ): RecordVerdict {
   const { wave, pool, vm, result } = body;
-  const fault = findHomeFault(tables, body);
+  const fault = findHomeMismatch(tables, body);
   if (fault !== undefined) return reject(fault);
   const step = tables.waveSteps.get(`${wave}/${vm}`);
   if (step?.pool !== pool) return reject(`VM ${vm} of pool ${pool} has no step in wave ${wave}.`);
--- a/src/log/snapshot/SnapshotWriter.ts
+++ b/src/log/snapshot/SnapshotWriter.ts
@@ -5,15 +5,15 @@
 import type { FleetTables } from '../../tables/index.js';
 import type { Clock } from '../../utils/index.js';
 import { Backoff, type BackoffOptions } from '../Backoff.js';
-import { raceTimeout } from '../raceTimeout.js';
+import { withTimeout } from '../withTimeout.js';
 import { findLatestSnapshotEnd } from './loadLatestSnapshot.js';
 import { serializeTables } from './serializeTables.js';
 import { SNAPSHOT_STREAM, type SnapshotEnd, type SnapshotPart } from './SnapshotRecord.js';
-import { hashParts, writeSnapshotText } from './snapshotText.js';
+import { hashParts, formatSnapshotText } from './snapshotText.js';
 
 const DEFAULT_BACKOFF: BackoffOptions = { firstMs: 100, longestMs: 2_000 };
-const APPEND_WAIT_MS = 5_000;
-const ATTEMPT_COUNT = 4;
+const APPEND_TIMEOUT_MS = 5_000;
+const MAX_ATTEMPT_COUNT = 4;
 const PARTS_PER_APPEND = 8;
 const DEFAULT_APPEND_GAP_MS = 20;
 
@@ -105,7 +105,7 @@
     const state = serializeTables(tables);
     const { nextOffset } = state.header;
     const snapshotId = makeSnapshotId();
-    const texts = await writeSnapshotText(state);
+    const texts = await formatSnapshotText(state);
     const parts = texts.map((text, index): SnapshotPart => ({
       type: 'snapshot-part',
       snapshotId,
@@ -150,13 +150,13 @@
     const backoff = new Backoff(this.options.backoff ?? DEFAULT_BACKOFF);
     const attempt = async (attemptsLeft: number): Promise<number> => {
       try {
-        return await raceTimeout(log.append(SNAPSHOT_STREAM, records), APPEND_WAIT_MS);
+        return await withTimeout(log.append(SNAPSHOT_STREAM, records), APPEND_TIMEOUT_MS);
       } catch (thrown) {
         if (attemptsLeft === 0) throw thrown;
-        await sleep(backoff.take());
+        await sleep(backoff.nextPauseMs());
         return attempt(attemptsLeft - 1);
       }
     };
-    return attempt(ATTEMPT_COUNT - 1);
+    return attempt(MAX_ATTEMPT_COUNT - 1);
   }
 }
--- a/src/log/snapshot/loadLatestSnapshot.ts
+++ b/src/log/snapshot/loadLatestSnapshot.ts
@@ -1,5 +1,5 @@
 import type { LogEntry, LogPort } from '../../platform/index.js';
-import { findStreamRange, READ_COUNT, readRange, type StreamRange } from './readStream.js';
+import { findStreamRange, MAX_READ_COUNT, readRange, type StreamRange } from './readStream.js';
 import type { SerializedTables } from './SerializedTables.js';
 import {
   SNAPSHOT_STREAM,
@@ -7,10 +7,10 @@
   snapshotEndSchema,
   snapshotPartSchema,
 } from './SnapshotRecord.js';
-import { hashParts, readSnapshotText } from './snapshotText.js';
+import { hashParts, parseSnapshotText } from './snapshotText.js';
 
 /** An end record of a snapshot and its offset on the stream. */
-interface PlacedEnd {
+interface LocatedEnd {
   readonly end: SnapshotEnd;
   readonly offset: number;
 }
@@ -20,7 +20,7 @@
  * @param entry - The entry.
  * @returns A list with the end record; empty if the entry holds another record.
  */
-function readEnd(entry: LogEntry): readonly PlacedEnd[] {
+function readEnd(entry: LogEntry): readonly LocatedEnd[] {
   const parsed = snapshotEndSchema.safeParse(entry.payload);
   return parsed.success ? [{ end: parsed.data, offset: entry.offset }] : [];
 }
@@ -29,26 +29,26 @@
  * Searches backwards from the end of the stream for a snapshot end record that can be used.
  * @param log - The log.
  * @param range - Offsets to search.
- * @param tryEnd - Maps an end record to a result, or returns undefined to continue the search.
+ * @param mapEnd - Maps an end record to a result, or returns undefined to continue the search.
  * @returns The first result, or undefined if there is none.
  */
 async function searchEnds<Result>(
   log: LogPort,
   range: StreamRange,
-  tryEnd: (placed: PlacedEnd) => Promise<Result | undefined>,
+  mapEnd: (located: LocatedEnd) => Promise<Result | undefined>,
 ): Promise<Result | undefined> {
   const { endOffset } = range;
   if (endOffset <= range.firstOffset) return undefined;
-  const firstOffset = Math.max(range.firstOffset, endOffset - READ_COUNT);
+  const firstOffset = Math.max(range.firstOffset, endOffset - MAX_READ_COUNT);
   const entries = await readRange(log, SNAPSHOT_STREAM, { firstOffset, endOffset });
   if (entries === undefined) return undefined;
   const latestFirst = entries.flatMap(readEnd).reverse();
   const found = await latestFirst.reduce<Promise<Result | undefined>>(
-    async (former, placed) => (await former) ?? tryEnd(placed),
+    async (former, placed) => (await former) ?? mapEnd(placed),
     Promise.resolve(undefined),
   );
   return (
-    found ?? searchEnds(log, { firstOffset: range.firstOffset, endOffset: firstOffset }, tryEnd)
+    found ?? searchEnds(log, { firstOffset: range.firstOffset, endOffset: firstOffset }, mapEnd)
   );
 }
 
@@ -58,15 +58,15 @@
  * The writer may have died or repeated an append, and other writers may have appended records in
  * between. The snapshot is valid only if all parts are present and the checksum matches.
  * @param log - The log.
- * @param placed - The end record and its offset.
+ * @param located - The end record and its offset.
  * @returns The state, or undefined if the snapshot is incomplete or has a newer format.
  */
 async function loadSnapshot(
   log: LogPort,
-  placed: PlacedEnd,
+  located: LocatedEnd,
 ): Promise<SerializedTables | undefined> {
-  const { firstPartOffset, partCount, sha256, snapshotId } = placed.end;
-  const range = { firstOffset: firstPartOffset, endOffset: placed.offset };
+  const { firstPartOffset, partCount, sha256, snapshotId } = located.end;
+  const range = { firstOffset: firstPartOffset, endOffset: located.offset };
   const entries = await readRange(log, SNAPSHOT_STREAM, range);
   if (entries === undefined) return undefined;
   const textByIndex = new Map(
@@ -78,7 +78,7 @@
   );
   if (textByIndex.size !== partCount) return undefined;
   const texts = Array.from({ length: partCount }, (_none, index) => textByIndex.get(index) ?? '');
-  return hashParts(texts) === sha256 ? readSnapshotText(texts) : undefined;
+  return hashParts(texts) === sha256 ? parseSnapshotText(texts) : undefined;
 }
 
 /**
--- a/src/log/snapshot/readStream.ts
+++ b/src/log/snapshot/readStream.ts
@@ -1,8 +1,8 @@
 import { throwError } from '../../errors/index.js';
 import type { LogEntry, LogPort } from '../../platform/index.js';
-import { raceTimeout } from '../raceTimeout.js';
+import { withTimeout } from '../withTimeout.js';
 
-const READ_LIMIT_MS = 10_000;
+const READ_TIMEOUT_MS = 10_000;
 
 /** Range of offsets on a stream; the end is exclusive. */
 export interface StreamRange {
@@ -12,7 +12,7 @@
 }
 
 /** Maximum number of records that this module requests in one read. */
-export const READ_COUNT = 200;
+export const MAX_READ_COUNT = 200;
 
 /**
  * Finds the range of offsets that a stream retains.
@@ -23,10 +23,10 @@
  */
 export async function findStreamRange(log: LogPort, stream: string): Promise<StreamRange> {
   const first = { stream, fromOffset: 0, maxCount: 1, waitMs: 0 };
-  const start = await raceTimeout(log.read(first), READ_LIMIT_MS);
+  const start = await withTimeout(log.read(first), READ_TIMEOUT_MS);
   if (start.type === 'entries') return { firstOffset: 0, endOffset: start.endOffset };
   const { firstOffset } = start;
-  const kept = await raceTimeout(log.read({ ...first, fromOffset: firstOffset }), READ_LIMIT_MS);
+  const kept = await withTimeout(log.read({ ...first, fromOffset: firstOffset }), READ_TIMEOUT_MS);
   if (kept.type === 'entries') return { firstOffset, endOffset: kept.endOffset };
   // The retention removed another record between the two reads; the caller may try again.
   return throwError('log-unavailable', `Stream ${stream} lost records while it was read.`);
@@ -47,10 +47,10 @@
   const entries: LogEntry[] = [];
   let fromOffset = range.firstOffset;
   while (fromOffset < range.endOffset) {
-    const maxCount = Math.min(READ_COUNT, range.endOffset - fromOffset);
+    const maxCount = Math.min(MAX_READ_COUNT, range.endOffset - fromOffset);
     const call = log.read({ stream, fromOffset, maxCount, waitMs: 0 });
     // eslint-disable-next-line no-await-in-loop -- each read begins where the last one ended
-    const result = await raceTimeout(call, READ_LIMIT_MS);
+    const result = await withTimeout(call, READ_TIMEOUT_MS);
     if (result.type === 'truncated' || result.entries.length === 0) return undefined;
     entries.push(...result.entries);
     fromOffset += result.entries.length;
--- a/src/log/snapshot/restoreTables.ts
+++ b/src/log/snapshot/restoreTables.ts
@@ -14,7 +14,7 @@
  * @param state - The state.
  * @returns Why it cannot, or undefined if it can.
  */
-function findFault(state: SerializedTables): string | undefined {
+function findIncompatibility(state: SerializedTables): string | undefined {
   // An instance that cannot read a record omits it from its state. If an instance that can read
   // the record continued from that state, it would lack the record and diverge from the fleet.
   const skipped = (state.rows.frozen as readonly FrozenRow[]).find(
@@ -30,17 +30,17 @@
  * A peer may be behind this instance. A state that is not ahead is ignored, because going back
  * would revert accepted changes.
  * @param tables - The tables, modified in place.
- * @param offered - Result of {@link serializeTables}, possibly of another program version.
+ * @param input - Result of {@link serializeTables}, possibly of another program version.
  * @returns Whether the tables were replaced, and if not, why.
  */
-export function restoreTables(tables: FleetTables, offered: unknown): RestoreResult {
-  const parsed = serializedTablesSchema.safeParse(offered);
+export function restoreTables(tables: FleetTables, input: unknown): RestoreResult {
+  const parsed = serializedTablesSchema.safeParse(input);
   if (!parsed.success) {
     const issue = parsed.error.issues[0]!;
     return { type: 'refused', reason: `${issue.path.join('.')}: ${issue.message}` };
   }
   const state = parsed.data;
-  const reason = findFault(state);
+  const reason = findIncompatibility(state);
   if (reason !== undefined) return { type: 'refused', reason };
   if (state.header.nextOffset <= tables.nextOffset) return { type: 'behind' };
   TABLE_NAMES.forEach((name) => {
--- a/src/log/snapshot/snapshotText.ts
+++ b/src/log/snapshot/snapshotText.ts
@@ -9,7 +9,7 @@
 
 /** A character takes at most three bytes, including escapes, so a part stays below 64 KiB. */
 const PART_CHARACTER_COUNT = 16_000;
-const ROWS_PER_TURN = 1_000;
+const ROWS_PER_SLICE = 1_000;
 const LINE_BREAK = '\n';
 
 /**
@@ -43,11 +43,11 @@
  * @param mapSlice - Maps one slice.
  * @returns The result of each slice, in order.
  */
-async function mapInTurns<Item, Result>(
+async function mapInSlices<Item, Result>(
   items: readonly Item[],
   mapSlice: (slice: readonly Item[]) => Result,
 ): Promise<readonly Result[]> {
-  return sliceBy(items, ROWS_PER_TURN).reduce<Promise<Result[]>>(async (former, slice) => {
+  return sliceBy(items, ROWS_PER_SLICE).reduce<Promise<Result[]>>(async (former, slice) => {
     const results = await former;
     results.push(mapSlice(slice));
     await nextTurn();
@@ -60,9 +60,9 @@
  * @param state - The state.
  * @returns The text in parts.
  */
-export async function writeSnapshotText(state: SerializedTables): Promise<readonly string[]> {
+export async function formatSnapshotText(state: SerializedTables): Promise<readonly string[]> {
   const lines = TABLE_NAMES.flatMap((name) => state.rows[name].map((row) => [name, row] as const));
-  const texts = await mapInTurns(lines, (slice) =>
+  const texts = await mapInSlices(lines, (slice) =>
     slice.map((line) => JSON.stringify(line)).join(LINE_BREAK),
   );
   const text = [JSON.stringify(state.header), ...texts].join(LINE_BREAK);
@@ -77,7 +77,7 @@
  * @param texts - All parts of the text, in order.
  * @returns The state, or undefined if a newer program wrote it in another format.
  */
-export async function readSnapshotText(
+export async function parseSnapshotText(
   texts: readonly string[],
 ): Promise<SerializedTables | undefined> {
   const [headerLine, ...lines] = texts.join('').split(LINE_BREAK);
@@ -86,7 +86,7 @@
   const rows = Object.fromEntries(
     TABLE_NAMES.map((name): [TableName, object[]] => [name, []]),
   ) as Record<TableName, object[]>;
-  await mapInTurns(lines, (slice) =>
+  await mapInSlices(lines, (slice) =>
     slice.forEach((line) => {
       const [name, row] = JSON.parse(line) as [TableName, object];
       rows[name].push(row);
--- a/src/log/raceTimeout.ts
+++ b/src/log/withTimeout.ts
@@ -10,7 +10,7 @@
  * @returns The result of the call.
  * @throws RattanliftError Of kind `log-unavailable` when the wait ends first.
  */
-export async function raceTimeout<Result>(call: Promise<Result>, waitMs: number): Promise<Result> {
+export async function withTimeout<Result>(call: Promise<Result>, waitMs: number): Promise<Result> {
   let timer: NodeJS.Timeout | undefined;
   const timeout = new Promise<never>((_resolve, fail) => {
     const expire = (): never =>
--- a/tests/log/LogFollower.test.ts
+++ b/tests/log/LogFollower.test.ts
@@ -46,7 +46,7 @@
     await expect.poll(() => follower.isAtEnd).toBe(true);
     log.readFault = 'hang';
     await log.append('control', drainRecords(0, 1_200));
-    await expect.poll(() => follower.isLogOut).toBe(true);
+    await expect.poll(() => follower.isLogUnavailable).toBe(true);
     const { lastReachedAtMs } = follower;
     log.readFault = 'none';
     expect(await follower.waitForOffset(1_199)).toBe(true);
@@ -84,7 +84,7 @@
     follower.start();
     await follower.waitForOffset(4);
     log.readFault = 'refuse';
-    await expect.poll(() => follower.isLogOut).toBe(true);
+    await expect.poll(() => follower.isLogUnavailable).toBe(true);
     await log.append('control', drainRecords(5, 30));
     const other = setUp(log);
     log.entriesOf('control').forEach((entry) => other.follower.offer([entry]));
--- a/tests/log/LogWriter.test.ts
+++ b/tests/log/LogWriter.test.ts
@@ -109,7 +109,7 @@
     it('answers not-written at once while the log is known to be out', async () => {
       const { log, drain, writer } = setUp('refuse');
       void drain('vm-1');
-      await expect.poll(() => writer.isLogOut).toBe(true);
+      await expect.poll(() => writer.isLogUnavailable).toBe(true);
       expect(await drain('vm-2', LONG_MS, true)).toMatchObject({ type: 'not-written' });
       expect(log.batchSizes.every((size) => size === 1)).toBe(true);
     });
--- a/tests/log/applyEntry.test.ts
+++ b/tests/log/applyEntry.test.ts
@@ -1,7 +1,13 @@
 import { describe, expect, it } from 'vitest';
 import { applyEntry } from '../../src/log/index.js';
 import type { RecordBody } from '../../src/records/index.js';
-import { createHeld, Folder, join, publication, writeDocument } from './support/Folder.js';
+import {
+  createFolderWithHome,
+  Folder,
+  join,
+  publication,
+  writeDocument,
+} from './support/Folder.js';
 
 const POOL = 'wiki/saves';
 const A = { pool: POOL, instance: 'a', term: 1 } as const;
@@ -31,7 +37,7 @@
 }
 
 /** Makes `a` lapse and `b` claim the pool. */
-function takeOver(folder: Folder): void {
+function takeOverPool(folder: Folder): void {
   const observedRenewalOffset = folder.tables.instances.getOrThrow('a').renewalOffset;
   folder.apply({ type: 'instance-lapsed', instance: 'a', observedRenewalOffset, by: 'b' });
   folder.apply({ type: 'home-claimed', pool: POOL, instance: 'b', expectedTerm: 1 });
@@ -39,7 +45,7 @@
 
 describe('applyEntry', () => {
   it('ignores entries that are applied, and fails on a gap', () => {
-    const { tables } = createHeld();
+    const { tables } = createFolderWithHome();
     expect(applyEntry(tables, { offset: 0, payload: {} })).toEqual({ type: 'stale' });
     expect(() => applyEntry(tables, { offset: 9, payload: {} })).toThrow('Entry 9');
     expect(tables.nextOffset).toBe(4);
@@ -56,7 +62,7 @@
   });
 
   it('stops deciding on the team of a record of a newer format, or on all teams', () => {
-    const folder = createHeld();
+    const folder = createFolderWithHome();
     folder.applyPayload({ formatVersion: 2, body: { type: 'new', pool: 'food/match' } });
     expect(folder.tables.isFrozen('food')).toBe(true);
     expect(folder.tables.isFrozen('wiki')).toBe(false);
@@ -117,7 +123,7 @@
     it('never gives a term twice to a pool that was withdrawn and published again', () => {
       // Failure: a former home resumes after a freeze and makes decisions for a pool that was
       // withdrawn and published again, because the new home holds the same term.
-      const folder = createHeld();
+      const folder = createFolderWithHome();
       folder.apply(publication('wiki', ['exports'], 1));
       expect(folder.tables.homes.has(POOL)).toBe(true);
       folder.apply({ type: 'home-released', ...A });
@@ -136,14 +142,14 @@
     });
 
     it('lets the renewal win that comes before the lapse', () => {
-      const folder = createHeld();
+      const folder = createFolderWithHome();
       folder.apply({ type: 'instance-renewed', instance: 'a' });
       expect(folder.reasonOf(lapse(1))).toBe('Instance a renewed at offset 4, after offset 1.');
       expect(folder.tables.homes.get(POOL)?.instance).toBe('a');
     });
 
     it('lets the lapse win that comes before the renewal', () => {
-      const folder = createHeld();
+      const folder = createFolderWithHome();
       expect(folder.apply(lapse(1)).type).toBe('accepted');
       expect(folder.reasonOf({ type: 'instance-renewed', instance: 'a' })).toBe(
         'Instance a is not joined.',
@@ -152,7 +158,7 @@
     });
 
     it('accepts a second instance on an address and rejects a second join of an id', () => {
-      const folder = createHeld();
+      const folder = createFolderWithHome();
       expect(folder.apply(join('c')).type).toBe('accepted');
       expect(folder.reasonOf(join('a'))).toBe('Instance a has joined before.');
       expect(folder.tables.instances.getOrThrow('a').state).toBe('joined');
@@ -161,7 +167,7 @@
 
   describe('homes', () => {
     it('rejects a claim of a held pool, of an old term, and by one that has not joined', () => {
-      const folder = createHeld();
+      const folder = createFolderWithHome();
       const claimBy = (instance: string, expectedTerm: number) =>
         folder.reasonOf({ type: 'home-claimed', pool: POOL, instance, expectedTerm });
       expect(claimBy('b', 1)).toBe('Pool wiki/saves is held by a in term 1.');
@@ -174,7 +180,7 @@
 
   describe('assignments', () => {
     it('gives a VM to one pool, and to another only after its release', () => {
-      const folder = createHeld();
+      const folder = createFolderWithHome();
       const other = { pool: 'wiki/exports', instance: 'b', term: 1 };
       const claim = { pool: 'wiki/exports', instance: 'b', expectedTerm: 0 };
       folder.apply({ type: 'home-claimed', ...claim });
@@ -206,7 +212,7 @@
     });
 
     it('takes a pool into one wave at a time, until each of its VMs is done', () => {
-      const folder = createHeld();
+      const folder = createFolderWithHome();
       ['vm-1', 'vm-2'].forEach((vm) => folder.apply(adopt(vm)));
       folder.apply(start('w'));
       expect(folder.reasonOf(start('w2'))).toContain('is in wave w, which is not finished');
@@ -220,7 +226,7 @@
     });
 
     it('begins no step while the wave is paused', () => {
-      const folder = createHeld();
+      const folder = createFolderWithHome();
       folder.apply(adopt('vm-1'));
       folder.apply(start('w'));
       folder.apply({ type: 'wave-paused', wave: 'w', reason: 'two VMs failed' });
@@ -232,12 +238,12 @@
     it('keeps the boot from before the first attempt when a successor repeats a step', () => {
       // Failure: a home dies right after it told a VM to reboot, and its successor reboots the VM
       // again because it mistakes the new boot for the one before the step.
-      const folder = createHeld();
+      const folder = createFolderWithHome();
       folder.apply(adopt('vm-1'));
       folder.apply(start('w'));
       folder.apply(step('vm-1'));
       expect(folder.reasonOf(step('vm-1'))).toContain('is intended already');
-      takeOver(folder);
+      takeOverPool(folder);
       expect(folder.reasonOf(step('vm-1', B, 'boot-2'))).toBe('accepted');
       expect(folder.tables.waveSteps.getOrThrow('w/vm-1')).toMatchObject({
         bootId: 'boot-1',
@@ -253,8 +259,8 @@
       // Failure: a page save runs twice, through the new home and through the old one.
       // The old home froze before its claim was appended, resumes after the takeover and still
       // acts as the home of the pool.
-      const folder = createHeld();
-      takeOver(folder);
+      const folder = createFolderWithHome();
+      takeOverPool(folder);
       expect(folder.reasonOf(claimRecord(['save-1']))).toBe(
         'Pool wiki/saves is held by b in term 2, not by a in term 1.',
       );
@@ -262,14 +268,14 @@
     });
 
     it('rejects the late claims of a home that has given the pool up and taken it again', () => {
-      const folder = createHeld();
+      const folder = createFolderWithHome();
       folder.apply({ type: 'home-released', ...A });
       folder.apply({ type: 'home-claimed', pool: POOL, instance: 'a', expectedTerm: 1 });
       expect(folder.reasonOf(claimRecord(['save-1']))).toContain('in term 2, not by a in term 1');
     });
 
     it('refuses a request that is claimed, within one record too, and keeps the others', () => {
-      const folder = createHeld();
+      const folder = createFolderWithHome();
       folder.apply(claimRecord(['save-1']));
       expect(folder.apply(claimRecord(['save-2', 'save-1', 'save-2']))).toEqual({
         type: 'accepted',
@@ -283,7 +289,7 @@
       [['run', 'not-run'], 'run'],
       [['not-run', 'unknown'], 'not-run'],
     ] as const)('settles %j as %s', (outcomes, expected) => {
-      const folder = createHeld();
+      const folder = createFolderWithHome();
       folder.apply(claimRecord(['save-1']));
       outcomes.forEach((outcome) => folder.apply(settle('save-1', outcome)));
       expect(folder.tables.claims.getOrThrow('save-1').outcome).toBe(expected);
@@ -293,7 +299,7 @@
       // Failure: a running save is reported as not run, is repeated by its caller and runs twice.
       // The first claim was settled as not run twice because the first response was lost, and the
       // first settlement reaches the log after the request was claimed again.
-      const folder = createHeld();
+      const folder = createFolderWithHome();
       const settleAs = (claimedOffset: number | undefined): void => {
         const settlements = [{ requestId: 'save-1', outcome: 'not-run', claimedOffset } as const];
         folder.apply({ type: 'requests-settled', ...A, settlements });
@@ -313,7 +319,7 @@
     it('forgets claims by the clocks of the writers, not by one that is far ahead', () => {
       // Failure: a repeated save runs twice because every instance has deleted its claim.
       // The wall clock of one writer is a year ahead.
-      const folder = createHeld();
+      const folder = createFolderWithHome();
       const claim = { pool: 'wiki/exports', instance: 'b', expectedTerm: 0 };
       folder.apply({ type: 'home-claimed', ...claim });
       folder.apply(claimRecord(['save-1'], A, 1));
--- a/tests/log/fold.property.test.ts
+++ b/tests/log/fold.property.test.ts
@@ -5,12 +5,17 @@
 import { FleetTables } from '../../src/tables/index.js';
 import { createInstance } from './support/createInstance.js';
 import { MemoryLog } from './support/MemoryLog.js';
-import { movesArbitrary, play, type PlayedRecord, TYPES } from './support/RandomFleet.js';
+import {
+  appendsArbitrary,
+  appendRecords,
+  type AppendedRecord,
+  RECORD_TYPES,
+} from './support/RandomFleet.js';
 
 const SEED = 20_261;
 const RUNS = { seed: SEED, numRuns: 150 };
 
-function toEntries(played: readonly PlayedRecord[]): readonly LogEntry[] {
+function toEntries(played: readonly AppendedRecord[]): readonly LogEntry[] {
   return played.map(({ payload }, offset) => ({ offset, payload }));
 }
 
@@ -19,11 +24,11 @@
   return tables;
 }
 
-function acceptedBodies(played: readonly PlayedRecord[]) {
+function acceptedBodies(played: readonly AppendedRecord[]) {
   return played.filter(({ verdict }) => verdict.type === 'accepted').map(({ body }) => body);
 }
 
-function claimedRequestIds({ body, verdict }: PlayedRecord): readonly string[] {
+function claimedRequestIds({ body, verdict }: AppendedRecord): readonly string[] {
   if (body.type !== 'requests-claimed' || verdict.type !== 'accepted') return [];
   const ids = body.claims.map((claim) => claim.requestId);
   return ids.filter((id) => !verdict.refusedRequestIds?.includes(id));
@@ -36,8 +41,8 @@
 describe(`fold of random records, seed ${SEED}`, () => {
   it('gives the same state through a snapshot at any place', () => {
     fc.assert(
-      fc.property(movesArbitrary, fc.nat(), (moves, cut) => {
-        const entries = toEntries(play(moves));
+      fc.property(appendsArbitrary, fc.nat(), (moves, cut) => {
+        const entries = toEntries(appendRecords(moves));
         const place = 1 + (cut % entries.length);
         const state = serializeTables(foldAll(entries.slice(0, place)));
         const restored = new FleetTables();
@@ -52,8 +57,8 @@
   it('gives the same state whatever order peers push the records in', () => {
     const pushes = fc.array(fc.nat(), { minLength: 200, maxLength: 200 });
     fc.assert(
-      fc.property(movesArbitrary, pushes, (moves, picks) => {
-        const entries = toEntries(play(moves));
+      fc.property(appendsArbitrary, pushes, (moves, picks) => {
+        const entries = toEntries(appendRecords(moves));
         const { follower, tables } = createInstance(new MemoryLog());
         picks.forEach((pick, index) => {
           const first = pick % entries.length;
@@ -69,8 +74,8 @@
   it('gives each pool one home per term, each VM one pool and each request one claim', () => {
     const acceptedTypes = new Set<string>();
     fc.assert(
-      fc.property(movesArbitrary, (moves) => {
-        const played = play(moves);
+      fc.property(appendsArbitrary, (moves) => {
+        const played = appendRecords(moves);
         const bodies = acceptedBodies(played);
         bodies.forEach((body) => acceptedTypes.add(body.type));
         const terms = bodies.flatMap((body) =>
@@ -93,6 +98,6 @@
       RUNS,
     );
     // The checks above prove something only if each type of record was accepted in some run.
-    expect([...acceptedTypes].sort()).toEqual([...TYPES].sort());
+    expect([...acceptedTypes].sort()).toEqual([...RECORD_TYPES].sort());
   });
 });
--- a/tests/log/support/Folder.ts
+++ b/tests/log/support/Folder.ts
@@ -52,7 +52,7 @@
 }
 
 /** Creates a state in which `a` is the home of `wiki/saves` in term 1 and `b` has joined. */
-export function createHeld(): Folder {
+export function createFolderWithHome(): Folder {
   const folder = new Folder();
   folder.apply(publication('wiki', ['saves', 'exports']));
   folder.apply(join('a'));
--- a/tests/log/support/RandomFleet.ts
+++ b/tests/log/support/RandomFleet.ts
@@ -11,7 +11,7 @@
 const STALE_COUNT = 4;
 
 /** Every type of record. */
-export const TYPES: readonly RecordBody['type'][] = [
+export const RECORD_TYPES: readonly RecordBody['type'][] = [
   'settings-published',
   'instance-joined',
   'instance-renewed',
@@ -34,11 +34,11 @@
 
 /** Types that end a membership or a home which other records need; generated less often. */
 const ENDING_TYPES = ['instance-left', 'instance-lapsed', 'home-released'];
-const FREQUENT_TYPES = TYPES.filter((type) => !ENDING_TYPES.includes(type));
+const FREQUENT_TYPES = RECORD_TYPES.filter((type) => !ENDING_TYPES.includes(type));
 
 /** Generates an append: its writer, its record, and whether the writer saw the latest state. */
-const moveArbitrary = fc.record({
-  type: fc.constantFrom(...TYPES, ...FREQUENT_TYPES, ...FREQUENT_TYPES),
+const appendArbitrary = fc.record({
+  type: fc.constantFrom(...RECORD_TYPES, ...FREQUENT_TYPES, ...FREQUENT_TYPES),
   team: fc.constantFrom(...TEAMS),
   poolName: fc.constantFrom(...POOL_NAMES),
   instance: fc.constantFrom(...INSTANCES),
@@ -50,16 +50,16 @@
   isRepeated: fc.boolean(),
 });
 
-type Move = typeof moveArbitrary extends fc.Arbitrary<infer Value> ? Value : never;
+type RandomAppend = typeof appendArbitrary extends fc.Arbitrary<infer Value> ? Value : never;
 
 /** Generates randomly interleaved appends of several writers. */
-export const movesArbitrary = fc.array(moveArbitrary, { minLength: 60, maxLength: 160 });
+export const appendsArbitrary = fc.array(appendArbitrary, { minLength: 60, maxLength: 160 });
 
 /** Creates the record of a move from the state that its writer saw. */
-function toBody(move: Move, { tables }: Folder): RecordBody {
-  const { instance: name, isFresh, stale, team, vm, wave, requestId } = move;
+function toBody(randomAppend: RandomAppend, { tables }: Folder): RecordBody {
+  const { instance: name, isFresh, stale, team, vm, wave, requestId } = randomAppend;
   const poolOfVm = isFresh ? tables.assignments.get(vm)?.pool : undefined;
-  const pool = poolOfVm ?? `${team}/${move.poolName}`;
+  const pool = poolOfVm ?? `${team}/${randomAppend.poolName}`;
   const home = tables.homes.get(pool);
   const instance = (isFresh ? home?.instance : undefined) ?? name;
   const term = isFresh ? (home?.term ?? 0) : stale;
@@ -70,16 +70,16 @@
     .find((row) => row.finishedOffset === undefined && row.pools.includes(pool));
   const waveId = (isFresh ? runningWave?.wave : undefined) ?? `${wave}-${stale}`;
   const vmVersion = version(tables.assignments.get(vm)?.version);
-  switch (move.type) {
+  switch (randomAppend.type) {
     case 'settings-published': {
-      const poolNames = stale === 0 ? [move.poolName] : POOL_NAMES;
+      const poolNames = stale === 0 ? [randomAppend.poolName] : POOL_NAMES;
       return publication(team, poolNames, version(tables.settings.get(team)?.version));
     }
     case 'instance-joined':
       return join(name);
     case 'instance-renewed':
     case 'instance-left':
-      return { type: move.type, instance: name };
+      return { type: randomAppend.type, instance: name };
     case 'instance-lapsed': {
       const observedRenewalOffset = version(tables.instances.get(name)?.renewalOffset);
       return { type: 'instance-lapsed', instance: name, observedRenewalOffset, by: 'z' };
@@ -90,10 +90,10 @@
       return { type: 'home-released', ...acting };
     case 'vm-adopted':
     case 'vm-released':
-      return { type: move.type, vm, ...acting, expectedVersion: vmVersion };
+      return { type: randomAppend.type, vm, ...acting, expectedVersion: vmVersion };
     case 'vm-drain-ordered':
     case 'vm-drain-cancelled':
-      return { type: move.type, vm, author: name };
+      return { type: randomAppend.type, vm, author: name };
     case 'wave-started':
       return {
         type: 'wave-started',
@@ -108,27 +108,27 @@
     case 'step-intended':
       return { type: 'step-intended', wave: waveId, vm, ...acting, bootId: 'boot' };
     case 'step-finished':
-      return { type: move.type, wave: waveId, vm, ...acting, result: 'maintained' };
+      return { type: randomAppend.type, wave: waveId, vm, ...acting, result: 'maintained' };
     case 'requests-claimed': {
       const claim = { requestId, entry: 'e', keepUntilMs: 1, fingerprint: 'f' };
       return { type: 'requests-claimed', ...acting, claims: [claim] };
     }
     case 'requests-settled':
-      return { type: move.type, ...acting, settlements: [{ requestId, outcome: 'run' }] };
+      return { type: randomAppend.type, ...acting, settlements: [{ requestId, outcome: 'run' }] };
     default:
-      throw new Error(`There is no move for ${String(move.type)}.`);
+      throw new Error(`There is no move for ${String(randomAppend.type)}.`);
   }
 }
 
 /** An appended record and its verdict. */
-export interface PlayedRecord {
+export interface AppendedRecord {
   readonly payload: unknown;
   readonly body: RecordBody;
   readonly verdict: ReturnType<Folder['apply']>;
 }
 
 /** Initial records of every run: two teams, and instances that are homes of their pools. */
-const OPENING: readonly RecordBody[] = [
+const INITIAL_RECORDS: readonly RecordBody[] = [
   ...TEAMS.map((team) => publication(team, POOL_NAMES)),
   ...INSTANCES.slice(0, -1).map(join),
   ...TEAMS.map((team, index): RecordBody => ({
@@ -140,9 +140,9 @@
 ];
 
 /** Appends the records of moves one by one, some of them twice as after a lost response. */
-export function play(moves: readonly Move[]): readonly PlayedRecord[] {
+export function appendRecords(appends: readonly RandomAppend[]): readonly AppendedRecord[] {
   const folder = new Folder();
-  const append = (body: RecordBody, times: number): readonly PlayedRecord[] => {
+  const append = (body: RecordBody, times: number): readonly AppendedRecord[] => {
     const recordId = `r-${folder.tables.nextOffset}`;
     const payload = { formatVersion: 1, recordId, writer: 'w', body };
     return Array.from({ length: times }, () => ({
@@ -151,7 +151,7 @@
       verdict: folder.applyPayload(payload),
     }));
   };
-  const opening = OPENING.flatMap((body) => append(body, 1));
-  const played = moves.flatMap((move) => append(toBody(move, folder), move.isRepeated ? 2 : 1));
+  const opening = INITIAL_RECORDS.flatMap((body) => append(body, 1));
+  const played = appends.flatMap((move) => append(toBody(move, folder), move.isRepeated ? 2 : 1));
   return [...opening, ...played];
 }
