--- a/scripts/mutantList.ts
+++ b/scripts/mutantList.ts
@@ -146,14 +146,14 @@
   {
     failure: '"not run" of the last attempt after an earlier one ran',
     file: 'src/entry/JobRun.ts',
-    find: 'const strongest = findStrongest(this.earlierOutcome, known);',
-    replace: 'const strongest = known;',
+    find: 'const strongest = findStrongestOutcome(this.earlierOutcome, lastOutcome);',
+    replace: 'const strongest = lastOutcome;',
     test: RUN_TEST,
-    name: 'answers run where an earlier attempt did',
+    name: 'reports the outcome run of an earlier attempt',
   },
   {
     failure: 'a settlement that frees the id of a request that runs',
-    file: 'src/entry/GrantReports.ts',
+    file: 'src/entry/JobGrantReporter.ts',
     find: "outcome: 'not-run', ranMs, isClaimed: false",
     replace: "outcome: 'not-run', ranMs, isClaimed: true",
     test: RUN_TEST,
@@ -162,8 +162,8 @@
   {
     failure: 'a request that must run once sent again after silence',
     file: 'src/entry/JobRun.ts',
-    find: 'if (this.job.idempotent) {\n      this.reports.endGrant(grant, ',
-    replace: 'if (this.job) {\n      this.reports.endGrant(grant, ',
+    find: 'if (this.job.idempotent) {\n      this.jobReporter.endGrant(',
+    replace: 'if (this.job) {\n      this.jobReporter.endGrant(',
     test: RUN_TEST,
     name: 'never sends a non-idempotent request again',
   },
@@ -181,7 +181,7 @@
     find: "case 'run':\n        return replace(answer, 'already-run', 'An earlier attempt has run.');",
     replace: "case 'run':\n        return answer;",
     test: CHECK_TEST,
-    name: 'finds the earlier attempt that ran behind deadline-past',
+    name: 'finds the earlier attempt that ran if a repeat is refused as deadline-past',
   },
   {
     failure: '"not run" for a repeat that cannot be looked up',
--- a/src/daemon/InstanceParts.ts
+++ b/src/daemon/InstanceParts.ts
@@ -170,7 +170,7 @@
     const waitForHome = async (_pool: string, signal: AbortSignal): Promise<void> => {
       await sleep(HOME_POLL_MS, undefined, { signal }).catch(() => undefined);
     };
-    const parts = { instance, router, keeper, reporter, targets, retryBudget };
+    const parts = { instance, router, grantRenewer: keeper, reporter, targets, retryBudget };
     const context = { ...parts, clock, events, metrics, createAttemptId, waitForHome };
     const findSettings = (pool: string) => getPoolSettings(fleet, pool);
     return new Entry({ context, fleet, peers, notRunCheck, getPoolSettings: findSettings });
--- a/src/entry/FinishReporter.ts
+++ b/src/entry/FinishReporter.ts
@@ -7,7 +7,7 @@
 
 /** Options of {@link FinishReporter}. */
 export interface FinishReporterOptions {
-  readonly router: Pick<HomeRouter, 'ask'>;
+  readonly router: Pick<HomeRouter, 'call'>;
   readonly clock: Clock;
 }
 
--- a/src/entry/GrantRenewer.ts
+++ b/src/entry/GrantRenewer.ts
@@ -13,7 +13,7 @@
 
 /** Options of {@link GrantRenewer}. */
 export interface GrantRenewerOptions {
-  readonly router: Pick<HomeRouter, 'ask'>;
+  readonly router: Pick<HomeRouter, 'call'>;
   readonly targets: Pick<TargetPort, 'renewLease'>;
   readonly clock: Clock;
 }
--- a/src/entry/GrantRequester.ts
+++ b/src/entry/GrantRequester.ts
@@ -8,7 +8,7 @@
 /** Options of {@link GrantRequester}. */
 export interface GrantRequesterOptions {
   readonly job: Job;
-  readonly router: Pick<HomeRouter, 'ask'>;
+  readonly router: Pick<HomeRouter, 'call'>;
   readonly clock: Clock;
   /** Aborts when the job ends; a pending grant request is then withdrawn. */
   readonly signal: AbortSignal;
--- a/src/entry/JobRun.ts
+++ b/src/entry/JobRun.ts
@@ -83,9 +83,9 @@
     this.context = context;
     this.job = job;
     this.signal = signal;
-    const { clock, grantRenewer: grantRenewer, reporter, router } = context;
+    const { clock, grantRenewer, reporter, router } = context;
     this.grantRequester = new GrantRequester({ job, router, clock, signal });
-    this.jobReporter = new JobGrantReporter({ job, grantRenewer: grantRenewer, reporter });
+    this.jobReporter = new JobGrantReporter({ job, grantRenewer, reporter });
     this.homeWaitEndsAtMs = clock.monotonicMs() + HOME_WAIT_MS;
   }
 
@@ -167,7 +167,7 @@
 
   private async runOnTarget(grant: GrantReply): Promise<AttemptEnd> {
     const { job } = this;
-    const { clock, events, targets, grantRenewer: grantRenewer } = this.context;
+    const { clock, events, targets, grantRenewer } = this.context;
     const target = { vm: grant.vm, host: grant.host, port: grant.port };
     const lostController = new AbortController();
     grantRenewer.add(createUsedGrant(job, grant, target, () => lostController.abort()));
--- a/src/entry/JobStore.ts
+++ b/src/entry/JobStore.ts
@@ -108,7 +108,7 @@
     const expiresAtMs = this.options.clock.monotonicMs() + FINISHED_JOB_RETENTION_MS;
     this.jobs.put({
       ...job,
-      expiresAtMs: expiresAtMs,
+      expiresAtMs,
       state: { ...job.state, phase: 'finished', ...finalState },
     });
   }
--- a/src/entry/RetryBudget.ts
+++ b/src/entry/RetryBudget.ts
@@ -23,7 +23,7 @@
 
   /** Adds the share of a first attempt to the budget. */
   deposit(): void {
-    const { retriesPerRequest: retriesPerRequest, maxRetryCount: maxRetryCount } = this.options;
+    const { retriesPerRequest, maxRetryCount } = this.options;
     this.availableCount = Math.min(maxRetryCount, this.availableCount + retriesPerRequest);
   }
 
--- a/tests/entry/GrantRequester.test.ts
+++ b/tests/entry/GrantRequester.test.ts
@@ -27,7 +27,7 @@
   return { asker: requester, asked: sentRequests, caller };
 }
 
-describe('GrantAsker', () => {
+describe('GrantRequester', () => {
   it('withdraws a request at once where its job ends meanwhile, and not later', async () => {
     let reply: (reply: PeerReply) => void = () => undefined;
     const held = new Promise<PeerReply>((resolve) => {
--- a/tests/entry/JobGrantReporter.test.ts
+++ b/tests/entry/JobGrantReporter.test.ts
@@ -23,7 +23,7 @@
   return { reports, reported, removed };
 }
 
-describe('GrantReports', () => {
+describe('JobGrantReporter', () => {
   it('settles a claim once, whichever way comes first', () => {
     const { reports, reported, removed } = setUp(false);
     const grant = makeGrant('g1', 'vm-1');
--- a/tests/entry/JobRun.test.ts
+++ b/tests/entry/JobRun.test.ts
@@ -55,7 +55,7 @@
     };
   };
   const router = {
-    ask: async (_pool: string, request: PeerRequest) => {
+    call: async (_pool: string, request: PeerRequest) => {
       sentRequests.push(request);
       return reply(request);
     },
