--- a/scripts/mutantList.ts
+++ b/scripts/mutantList.ts
@@ -266,9 +266,9 @@
   {
     failure: 'half a snapshot taken for a whole one',
     file: 'src/log/snapshot/loadLatestSnapshot.ts',
-    find: 'return hashParts(texts) === sha256 ? readSnapshotText(texts) : undefined;',
-    replace: "return sha256 !== '' ? readSnapshotText(texts) : undefined;",
+    find: 'return hashParts(texts) === sha256 ? parseSnapshotText(texts) : undefined;',
+    replace: "return sha256 !== '' ? parseSnapshotText(texts) : undefined;",
     test: SNAPSHOT_TEST,
-    name: 'passes over half a snapshot and one whose checksum fails',
+    name: 'ignores an incomplete snapshot and one whose checksum does not match',
   },
 ];
--- a/src/daemon/PeerCatchUp.ts
+++ b/src/daemon/PeerCatchUp.ts
@@ -8,7 +8,7 @@
 export interface PeerCatchUpOptions {
   readonly instance: string;
   readonly fleet: FleetTables;
-  readonly follower: Pick<LogFollower, 'isLogOut' | 'offer' | 'restore'>;
+  readonly follower: Pick<LogFollower, 'isLogUnavailable' | 'offer' | 'restore'>;
   readonly peers: PeerPort;
 }
 
--- a/tests/log/EntryApplier.test.ts
+++ b/tests/log/EntryApplier.test.ts
@@ -39,7 +39,7 @@
     expect(await wait).toBe(true);
   });
 
-  it('counts what a read knows of and did not bring, and no entry twice', () => {
+  it('counts the records that a read reports and does not return, each once', () => {
     applier.applyRead([makeEntry(0), makeEntry(1)], 5);
     expect(applier.getLagCount()).toBe(3);
     applier.offer([makeEntry(0), makeEntry(2)]);
@@ -47,7 +47,7 @@
     expect(appliedOffsets).toEqual([0, 1, 2]);
   });
 
-  it('goes on from a newer state with what was offered behind it, and tells of it', () => {
+  it('restores a newer state, applies the entries offered after it and notifies listeners', () => {
     const other = new FleetTables();
     const ahead = new EntryApplier({ tables: other, events });
     ahead.applyRead([makeEntry(0), makeEntry(1)], 2);
@@ -61,7 +61,7 @@
     expect(applier.restore(serializeTables(other)).type).not.toBe('restored');
   });
 
-  it('tells of a record that the fold rejects', () => {
+  it('logs a record that the fold rejects', () => {
     const release = { type: 'home-released', pool: 'team/pool', instance: 'i1', term: 3 };
     applier.applyRead([makeEntry(0, release)], 1);
     expect(events.events).toMatchObject([
--- a/tests/log/LogFollower.test.ts
+++ b/tests/log/LogFollower.test.ts
@@ -40,7 +40,7 @@
 }
 
 describe('LogFollower', () => {
-  it('follows through an outage and a connection that went silent', async () => {
+  it('continues after an outage in which the log did not respond', async () => {
     const { log, follower, tables, events } = setUp();
     follower.start();
     await expect.poll(() => follower.isAtEnd).toBe(true);
@@ -75,7 +75,7 @@
     expect(await follower.waitForOffset(0, { signal: aborted })).toBe(false);
   });
 
-  it('goes on from a snapshot when the retention has passed while it was away', async () => {
+  it('continues from a snapshot when the retention has removed records that it needs', async () => {
     // Failure: one instance misses an operator's drain order and sends work to the VM.
     // The instance was disconnected for longer than the log keeps records, and continuing from
     // the first record kept would skip the order.
--- a/tests/log/LogWriter.test.ts
+++ b/tests/log/LogWriter.test.ts
@@ -55,7 +55,7 @@
 
     // Failure: under load every instance appends as fast as the log answers, and all instances
     // together exceed the capacity of the platform's log.
-    it('keeps a gap between appends, and puts what comes meanwhile into one', async () => {
+    it('keeps a gap between appends and combines the writes in between into one', async () => {
       const { log, drain } = setUp('none', true, 300);
       await drain('vm-1');
       const later = ['vm-2', 'vm-3', 'vm-4'].map(async (vm, index) => {
@@ -92,7 +92,7 @@
       expect(await claimOf('food/match')).toMatchObject({ type: 'rejected' });
     });
 
-    it('names in a settlement the claim that its writer sees', async () => {
+    it('adds to a settlement the offset of the claim that its writer sees', async () => {
       const { log, writer, clock, tables } = setUp();
       const claim = { requestId: 'save-1', pool: 'wiki/saves', entry: 'e', fingerprint: 'f' };
       tables.claims.put({ ...claim, keepUntilMs: 1, outcome: undefined, claimedOffset: 7 });
--- a/tests/log/applyEntry.test.ts
+++ b/tests/log/applyEntry.test.ts
@@ -295,7 +295,7 @@
       expect(folder.tables.claims.getOrThrow('save-1').outcome).toBe(expected);
     });
 
-    it('passes over a late "not run" of an earlier claim of a request that runs now', () => {
+    it('ignores a late "not run" of an earlier claim of a request that is running', () => {
       // Failure: a running save is reported as not run, is repeated by its caller and runs twice.
       // The first claim was settled as not run twice because the first response was lost, and the
       // first settlement reaches the log after the request was claimed again.
@@ -316,7 +316,7 @@
       expect(folder.tables.claims.getOrThrow('save-1').outcome).toBe('not-run');
     });
 
-    it('forgets claims by the clocks of the writers, not by one that is far ahead', () => {
+    it('expires claims by the clocks of the writers, not by one that is far ahead', () => {
       // Failure: a repeated save runs twice because every instance has deleted its claim.
       // The wall clock of one writer is a year ahead.
       const folder = createFolderWithHome();
--- a/tests/log/snapshot.test.ts
+++ b/tests/log/snapshot.test.ts
@@ -69,13 +69,13 @@
       expect(await writer.writeIfDue()).toBe(true);
     });
 
-    it('writes none of a state that lacks a record of a newer format', async () => {
+    it('writes no snapshot of a state that lacks a record of a newer format', async () => {
       const { tables, writer } = setUp(1);
       applyEntry(tables, { offset: 1, payload: { formatVersion: 2 } });
       expect(await writer.writeIfDue()).toBe(false);
     });
 
-    it('loads whole although the answers of its appends were lost', async () => {
+    it('writes a complete snapshot although responses to its appends were lost', async () => {
       const { log, tables, writer } = setUp();
       log.appendFault = 'lose-answer';
       log.appendFaultCount = 2;
@@ -86,7 +86,7 @@
 });
 
 describe('loadLatestSnapshot', () => {
-  it('passes over half a snapshot and one whose checksum fails', async () => {
+  it('ignores an incomplete snapshot and one whose checksum does not match', async () => {
     // Failure: a new instance starts with outdated settings mixed with newer ones.
     // The writer of one snapshot died before it was complete, and a part of another one was
     // altered, so neither is a consistent state.
@@ -105,7 +105,7 @@
     expect(await loadLatestSnapshot(log)).toEqual(whole);
   });
 
-  it('finds none where the retention has passed the first part', async () => {
+  it('finds no snapshot whose first part the retention has removed', async () => {
     const { log, writer } = setUp();
     await writer.writeIfDue();
     log.truncate(SNAPSHOT_STREAM, 1);
