--- a/src/taskHome/RelayedTargets.ts
+++ b/src/taskHome/RelayedTargets.ts
@@ -29,7 +29,7 @@
 }
 
 /**
- * CPU that the calls to one target take under peak load, in cores: 25 starts and 20 status calls a
+ * CPU that the calls to one target take under peak load, in cores: 25 starts and 20 renewals a
  * second at 0.3 ms each.
  */
 const CORES_PER_DIRECT_TARGET = 0.015;
--- a/src/taskHome/TaskHome.ts
+++ b/src/taskHome/TaskHome.ts
@@ -29,7 +29,9 @@
 
 /** Longest wait for the ends in a report to be stored before the lease is renewed. */
 const STORE_WAIT_MS = 400;
-/** Leases of an earlier home lapse after their length, 2 % for clock drift, and a margin. */
+/**
+ * Leases of an earlier home count as lapsed after their length, 2 % for clock drift, and a margin.
+ */
 const INHERITED_LEASE_FACTOR = 1.1;
 
 /** The home of one partition, which alone schedules the jobs and targets of the pools in it. */
--- a/tests/taskHome/JobTable.test.ts
+++ b/tests/taskHome/JobTable.test.ts
@@ -21,8 +21,9 @@
   table.listActive().map(({ spec }) => spec.jobId);
 
 describe('JobTable', () => {
-  // Guards against placement rounds that take longer than an append: the table held 500 finished
-  // jobs, which are kept for callers who ask, and every round visited all of their tasks.
+  // Guards against placement rounds that take longer than an append, as in the second half of a
+  // busy day: the table held 500 finished jobs, which are kept for callers who ask, and every round
+  // visited all of their tasks.
   it('lists a job as active until it is finished and its last task has left its target', () => {
     const table = new JobTable();
     const row = createJobRow(makeJob('j1'));
--- a/tests/taskHome/RelayedTargets.test.ts
+++ b/tests/taskHome/RelayedTargets.test.ts
@@ -135,8 +135,8 @@
     ]);
   });
 
-  // Guards against the outage of a relay that loses power: until the group notices, 3 s later, its
-  // targets count as silent, get no tasks, and their leases are not renewed, although the home can
+  // Guards against targets that count as silent because their relay has lost power: until the group
+  // notices, 3 s later, they get no tasks and their leases are not renewed, although the home can
   // reach them.
   it('calls a target itself for a while once its relay gave no reply', async () => {
     log.silent.add('relay-1').add('relay-2');
