--- a/src/fleetHome/FleetHome.ts
+++ b/src/fleetHome/FleetHome.ts
@@ -298,7 +298,7 @@
     return new Set([...this.listDrainedVms(), ...active, ...this.orders.listLeasedVms()]);
   }
 
-  /** Lists VMs under an earlier lease that are neither drained nor ordered and run tasks. */
+  /** Lists the usable VMs under an earlier lease: neither drained nor under an active order. */
   private listStayingVms(): ReadonlySet<string> {
     const drained = this.listDrainedVms();
     return new Set(
--- a/src/fleetHome/LifetimeEndDetector.ts
+++ b/src/fleetHome/LifetimeEndDetector.ts
@@ -92,7 +92,8 @@
 
   /**
    * Records ended lifetimes and classifies them. Crashes that come from the loss of a rack or of
-   * power are marked, so that tasks whose targets crash repeatedly are not given up for them.
+   * power are marked, so that no task is given up for them: its targets may crash repeatedly, but
+   * targets without the task crash at the same time.
    */
   private recordEnds(changes: readonly VmChange[], vms: readonly FleetVm[]): void {
     const endedAtMs = this.options.clock.monotonicMs();
--- a/src/fleetHome/VmOrders.ts
+++ b/src/fleetHome/VmOrders.ts
@@ -179,9 +179,10 @@
   }
 
   /**
-   * Tells whether an accepted order has had no effect. The platform also accepts an order that has
-   * already been carried out, which a new home may repeat. The VM's lifetime then stays the same,
-   * and the order would otherwise stay active forever.
+   * Tells whether an order was accepted so long ago that a list shows its effect, if it has one.
+   * The platform also accepts an order that has already been carried out, which a new home may
+   * repeat. The VM's lifetime then stays the same, and the order would otherwise stay active
+   * forever.
    */
   private static hasNoEffect({ acceptedAtMs }: ActiveOrder, askedAtMs: number): boolean {
     return acceptedAtMs !== undefined && askedAtMs - acceptedAtMs >= EFFECT_LISTED_AFTER_MS;
--- a/src/peers/FrameDecoder.ts
+++ b/src/peers/FrameDecoder.ts
@@ -2,7 +2,7 @@
 import { decodeFrame, FRAME_HEADER_BYTES, MAX_FRAME_BYTES } from './frameCodec.js';
 import type { PeerFrame } from './PeerFrame.js';
 
-/** Returns the size of the next frame with its header, or the header's size if incomplete. */
+/** Returns the size of the next frame with its header; without a full header, the header's size. */
 function getNeededBytes(bytes: Buffer, position: number): number {
   if (bytes.length - position < FRAME_HEADER_BYTES) return FRAME_HEADER_BYTES;
   const payloadBytes = bytes.readUInt32BE(position);
--- a/src/peers/PeerConnection.ts
+++ b/src/peers/PeerConnection.ts
@@ -4,7 +4,7 @@
 import type { HeartbeatOptions } from './HeartbeatOptions.js';
 import type { PeerFrame } from './PeerFrame.js';
 
-/** Maximum number of unsent bytes; a connection to a slower peer is closed. */
+/** Maximum number of unsent bytes; with more, the peer reads too slowly and is disconnected. */
 const MAX_BUFFERED_BYTES = 64 * 1024 * 1024;
 
 /**
@@ -123,7 +123,7 @@
     this.options.socket.destroySoon();
   }
 
-  /** Batches the frames of an event loop turn: a home starts tens of tasks in one turn. */
+  /** Sends the frames of an event loop turn in one write; a home starts tens of tasks in a turn. */
   private batchWrites(): void {
     const { socket } = this.options;
     if (this.isCorked) return;
--- a/src/queues/ConfigurationFollower.ts
+++ b/src/queues/ConfigurationFollower.ts
@@ -27,7 +27,7 @@
  */
 const LONG_POLL_MS = 1_000;
 /**
- * Number of missed changes from which the follower reads only the newest configuration. A
+ * Number of missed changes above which the follower reads only the newest configuration. A
  * configuration may have 256 KB; reading 60 of them takes 9 s on a link of 14 Mbit/s.
  */
 const MAX_BEHIND_COUNT = 4;
--- a/src/targets/TaskExchange.ts
+++ b/src/targets/TaskExchange.ts
@@ -19,7 +19,7 @@
   readonly connectTimeoutMs: number;
   /** Longest silence of the target after the request may have been sent, in milliseconds. */
   readonly silenceLimitMs: number;
-  /** Called once when a silence limit expires. */
+  /** Called once when the connect timeout or the silence limit expires. */
   readonly onSilent: () => void;
   /** Called once when the exchange has ended. */
   readonly onEnded: () => void;
--- a/tests/fleetHome/WaveCoordinator.test.ts
+++ b/tests/fleetHome/WaveCoordinator.test.ts
@@ -123,7 +123,8 @@
 
   // Guards against two VMs of a wave being down when one is allowed: an order of the earlier home
   // got no answer and is carried out seconds later, after the next home has taken another VM down.
-  // An order of the next home for the same VM prevents the late order from being carried out.
+  // An order of the next home for the VM of the unanswered order prevents that order from being
+  // carried out late.
   it('orders the VMs first that an earlier home may have ordered without an answer', async () => {
     const clock = new ManualClock(1_000_000);
     const events = new MemoryEventLog();
