--- a/src/home/PoolVms.ts
+++ b/src/home/PoolVms.ts
@@ -134,7 +134,7 @@
 
   /**
    * Describes the state of the pool in one line for operators.
-   * @returns The text of {@link getState}.
+   * @returns Counts, the budget and the reasons why waves wait, from {@link getState}.
    */
   describe(): string {
     const state = this.getState();
--- a/src/membership/HeldLease.ts
+++ b/src/membership/HeldLease.ts
@@ -55,10 +55,10 @@
   /**
    * Checks whether the lease is held now.
    *
-   * If the process or its VM was paused, other instances may have seen the lease lapse. Both clocks
-   * advance while a process is stopped, but the monotonic clock can stand still while a host pauses
-   * the VM, so the lease also ends by the wall clock. Callers check the lease immediately before
-   * each action that it protects.
+   * If the process or its VM was paused, other instances may have seen the lease lapse, and this
+   * instance must not act on it any more. Both clocks advance while a process is stopped, but the
+   * monotonic clock can stand still while a host pauses the VM, so the lease also ends by the wall
+   * clock. Callers check the lease immediately before each action that it protects.
    * @returns Whether the lease is held.
    */
   isHeld(): boolean {
--- a/src/membership/Membership.ts
+++ b/src/membership/Membership.ts
@@ -108,9 +108,9 @@
   /**
    * Joins, or renews the lease if this instance has joined.
    *
-   * If this instance leaves while a renewal is in flight, another instance may become the home of
-   * its pools before the renewal is read back. A record that was sent before a leave therefore does
-   * not extend the lease after it.
+   * If this instance leaves while a renewal is in flight, the renewal would revive the lease when
+   * it is read back, although another instance may be the home of its pools by then. A record that
+   * was sent before a leave therefore does not extend the lease after it.
    */
   private async joinOrRenew(): Promise<void> {
     const { self, tables, writer, clock, timing, events } = this.options;
--- a/src/systems/ArrivalRate.ts
+++ b/src/systems/ArrivalRate.ts
@@ -9,7 +9,7 @@
 const MIN_ARRIVAL_COUNT = 5;
 /** Shortest span over which arrivals are counted, in ms: half the time of a move between pools. */
 const MIN_SPAN_MS = 700;
-/** Longest span, in milliseconds: a load peak of rare jobs is detected within half of it. */
+/** Longest span, in milliseconds: a peak of rare jobs is detected in time for half of the peak. */
 const MAX_SPAN_MS = 2_000;
 
 /** Least number of arrivals in the later half of the span for a rise to be significant. */
--- a/src/systems/PoolPeaks.ts
+++ b/src/systems/PoolPeaks.ts
@@ -29,10 +29,10 @@
  * Tracks the most VMs that each pool has used at once, with slow exponential decay.
  *
  * A new home continues with the stored peaks of the previous one. During a load peak, the current
- * VMs of a pool don't show how many operators assigned to it, and a pool that has just given its
- * VMs to others would keep three for its own peak. The stored peaks count as observed at the
- * takeover: the previous home stored each one when it changed, and with ages by the wall clock, a
- * jump of 40 minutes would decay all of them.
+ * VMs of a pool don't show how many operators assigned to it. Without the stored peaks, a pool that
+ * has just given its VMs to others would keep three for its own peak. The stored peaks count as
+ * observed at the takeover: the previous home stored each one when it changed, and with ages by the
+ * wall clock, a jump of 40 minutes would decay all of them.
  */
 export class PoolPeaks {
   private readonly clock: Clock;
--- a/src/systems/planCapacity.ts
+++ b/src/systems/planCapacity.ts
@@ -213,7 +213,7 @@
   return new Set(tables.grants.list().map((grant) => grant.vm));
 }
 
-/** Releases VMs that the platform has long reported as gone and that still use up the budget. */
+/** Releases VMs that the platform has long reported as gone, so that they free up the budget. */
 function planGoneReleases(
   tables: PoolTables,
   busyVms: ReadonlySet<string>,
--- a/src/systems/planWaveSteps.ts
+++ b/src/systems/planWaveSteps.ts
@@ -18,10 +18,9 @@
   /** Progress of each wave over all pools; without it each pool starts independently. */
   readonly fleetProgress?: ReadonlyMap<string, WaveProgress>;
   /**
-   * Racks, as `data centre/rack`, that have lost every VM at once, or a VM without a step in any
-   * wave, over all pools. If a pool's few VMs in a lost rack were all maintained, the pool alone
-   * cannot tell this loss from faulty maintenance and would stop the wave; the rack's other VMs
-   * show the difference.
+   * Racks, as `data centre/rack`, whose VMs are all gone, over all pools. If a pool's few VMs in a
+   * lost rack were all maintained, the pool alone cannot tell this loss from faulty maintenance and
+   * would stop the wave; the rack's other VMs show the difference.
    */
   readonly failedRacks?: ReadonlySet<string>;
 }
