--- a/src/entry/GrantRequester.ts
+++ b/src/entry/GrantRequester.ts
@@ -10,7 +10,7 @@
   readonly job: Job;
   readonly router: Pick<HomeRouter, 'call'>;
   readonly clock: Clock;
-  /** Aborts when the job ends; a pending grant request is then withdrawn. */
+  /** Ends the job when it aborts; a pending grant request is then withdrawn. */
   readonly signal: AbortSignal;
 }
 
--- a/src/entry/HomeRouter.ts
+++ b/src/entry/HomeRouter.ts
@@ -15,7 +15,7 @@
   readonly isLogOut: () => boolean;
 }
 
-/** Acts as a pool's home while the log is unreadable and the home does not answer. */
+/** Instance that acts for a pool's home while the home is silent and the log is unreadable. */
 interface StandIn {
   readonly instance: string;
   /** Term of the home that it replaces; a later term ends the replacement. */
--- a/src/log/EntryApplier.ts
+++ b/src/log/EntryApplier.ts
@@ -107,7 +107,7 @@
     return this.waiters.wait(offset, options);
   }
 
-  /** Ends all waits as not reached; later waits end at once. */
+  /** Ends all waits as not reached, including later waits for offsets not applied by then. */
   endWaits(): void {
     this.areWaitsEnded = true;
     this.waiters.endAll();
--- a/src/log/LogFollower.ts
+++ b/src/log/LogFollower.ts
@@ -37,7 +37,7 @@
   readonly onRestored?: () => void;
   /** How long the log service may hold a read open, in milliseconds. */
   readonly readWaitMs?: number;
-  /** Additional time after which a read is treated as failed, in milliseconds. */
+  /** Time beyond `readWaitMs` after which a read is treated as failed, in milliseconds. */
   readonly readGraceMs?: number;
   readonly backoff?: BackoffOptions;
 }
--- a/src/log/findFreezeReason.ts
+++ b/src/log/findFreezeReason.ts
@@ -7,8 +7,8 @@
 /**
  * Lists the subtrees that a record makes decisions on.
  * @param body - Body of the record.
- * @returns The teams, or `*` for all of them. Empty for a record that only gives something up or
- * reports an event, because it is valid whatever other records are on the log.
+ * @returns The teams, or `*` for all of them. Empty for a record that decides nothing, but gives
+ * something up or reports what has happened, which is true whatever other records are on the log.
  */
 function listSubtrees(body: RecordBody): readonly string[] {
   const teamOf = (pool: string): string => pool.slice(0, pool.indexOf('/'));
--- a/src/log/snapshot/SnapshotWriter.ts
+++ b/src/log/snapshot/SnapshotWriter.ts
@@ -43,7 +43,7 @@
   readonly backoff?: BackoffOptions;
 }
 
-/** Writes snapshots of the state before the retention of the log removes the records behind it. */
+/** Writes snapshots of the state before the retention removes the records that led to it. */
 export class SnapshotWriter {
   private readonly options: SnapshotWriterOptions;
 
@@ -86,7 +86,7 @@
 
   private async isDue(): Promise<boolean> {
     const { log, tables } = this.options;
-    // The state lacks records that this program cannot read, so other instances must not load it.
+    // Other instances must not load a state that lacks records which this program cannot read.
     if (tables.frozen.size > 0 || tables.nextOffset === 0) return false;
     if (this.latest !== undefined && !this.isStale(this.latest)) return false;
     // Another instance may have written a snapshot since.
--- a/tests/entry/NotRunCheck.test.ts
+++ b/tests/entry/NotRunCheck.test.ts
@@ -35,7 +35,7 @@
 describe('NotRunCheck', () => {
   describe('correct', () => {
     // Guards against "not run" for a save that ran: its answer was lost, and the repeat is refused
-    // because its deadline has passed or its instance is stopping or has just resumed.
+    // because its deadline has passed or its instance is stopping or has just resumed from a pause.
     it.each(['deadline-past', 'shutting-down', 'log-unavailable', 'home-unavailable'] as const)(
       'finds the earlier attempt that ran if a repeat is refused as %s',
       async (kind) => {
--- a/tests/log/support/RandomFleet.ts
+++ b/tests/log/support/RandomFleet.ts
@@ -55,7 +55,7 @@
 /** Generates randomly interleaved appends of several writers. */
 export const appendsArbitrary = fc.array(appendArbitrary, { minLength: 60, maxLength: 160 });
 
-/** Creates the record of a move from the state that its writer saw. */
+/** Creates the record of a random append from the state that its writer saw. */
 function toBody(randomAppend: RandomAppend, { tables }: Folder): RecordBody {
   const { instance: name, isFresh, stale, team, vm, wave, requestId } = randomAppend;
   const poolOfVm = isFresh ? tables.assignments.get(vm)?.pool : undefined;
@@ -139,7 +139,7 @@
   })),
 ];
 
-/** Appends the records of moves one by one, some of them twice as after a lost response. */
+/** Makes random appends one by one, some of them twice as after a lost response. */
 export function appendRecords(appends: readonly RandomAppend[]): readonly AppendedRecord[] {
   const folder = new Folder();
   const append = (body: RecordBody, times: number): readonly AppendedRecord[] => {
