--- a/src/jobNode/JobNode.ts
+++ b/src/jobNode/JobNode.ts
@@ -12,7 +12,7 @@
 import { shouldHoldHomes } from '../systems/index.js';
 import {
   announceMember,
-  type FleetHomeBasis,
+  type FleetHomeContext,
   formatMember,
   getMaxAppendBytes,
   type GroupMember,
@@ -246,7 +246,7 @@
     return pools.filter((pool) => pool.isStandby === isStandby).map(({ pool }) => pool);
   }
 
-  private createFleetHome(basis: FleetHomeBasis): FleetHome {
+  private createFleetHome(basis: FleetHomeContext): FleetHome {
     const { bounds, clock, events, holder, mechanisms, ports, records } = this.options;
     const statusWriter = new RecordWriter({
       store: ports.store,
--- a/src/log/index.ts
+++ b/src/log/index.ts
@@ -1,7 +1,7 @@
 export { applyEntry } from './applyEntry.js';
 export type { ApplyVerdict } from './ApplyVerdict.js';
 export type { BackoffOptions } from './Backoff.js';
-export { findHomeMismatch as findHomeFault, isPoolInForce, type ActingHome } from './fold/homes.js';
+export { findHomeMismatch, isPoolInForce, type ActingHome } from './fold/homes.js';
 export { isWaveFinished } from './fold/waveProgress.js';
 export type { AppliedListener } from './EntryApplier.js';
 export { LogFollower, type LogFollowerOptions } from './LogFollower.js';
--- a/src/taskHome/index.ts
+++ b/src/taskHome/index.ts
@@ -14,11 +14,7 @@
 export type { TargetEntries, TargetEntry } from './TargetEntry.js';
 export { TaskHome } from './TaskHome.js';
 export type { TaskHomeOptions } from './TaskHomeOptions.js';
-export {
-  type FleetHomeContext as FleetHomeBasis,
-  TaskHomes,
-  type TaskHomesOptions,
-} from './TaskHomes.js';
+export { type FleetHomeContext, TaskHomes, type TaskHomesOptions } from './TaskHomes.js';
 export type { TaskHomeTiming } from './TaskHomeTiming.js';
 export { getMaxAppendBytes } from './getMaxAppendBytes.js';
 export { RecordWriter, type RecordWriterOptions } from './RecordWriter.js';
